--- a/src/threadramp/runner/engine_ends.py
+++ b/src/threadramp/runner/crash_detection.py
@@ -17,7 +17,9 @@
     from collections.abc import Callable
 
 
-def has_ended(address: str, lived_s: float, look: Callable[[str], EndpointState] = look_at) -> bool:
+def has_crashed(
+    address: str, lived_s: float, look: Callable[[str], EndpointState] = look_at
+) -> bool:
     """Return whether an engine has ended, as far as can be seen now.
 
     :param lived_s: seconds from the sending of a sample until its connection broke
@@ -28,4 +30,4 @@
     return found.state is EndpointState.ENDED
 
 
-__all__ = ["has_ended"]
+__all__ = ["has_crashed"]
--- a/src/threadramp/runner/order_right.py
+++ b/src/threadramp/runner/engine_lock.py
@@ -20,7 +20,7 @@
 HAND_OVER_MARGIN_S = PROVEN_S + ARRIVAL_S
 
 
-def order_right(
+def make_engine_lock(
     store: StoreClient,
     engine: str,
     holder: str,
@@ -38,4 +38,4 @@
     return Right(store, RIGHT_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
 
 
-__all__ = ["ARRIVAL_S", "HAND_OVER_MARGIN_S", "RIGHT_PREFIX", "order_right"]
+__all__ = ["ARRIVAL_S", "HAND_OVER_MARGIN_S", "RIGHT_PREFIX", "make_engine_lock"]
--- a/src/threadramp/runner/hosting.py
+++ b/src/threadramp/runner/hosting.py
@@ -16,12 +16,12 @@
 from threadramp.policy.engine_host import host_of
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
-from threadramp.runner.beliefs import RunnerBeliefs
 from threadramp.runner.engine import Engine
-from threadramp.runner.order_right import order_right
+from threadramp.runner.engine_lock import make_engine_lock
+from threadramp.runner.inspector import RunnerInspector
 from threadramp.runner.runs import RunTable
 from threadramp.runner.sidecar import Sidecar
-from threadramp.runner.weights import Weights
+from threadramp.runner.weight_loader import WeightLoader
 from threadramp.wire.fleet import Beat, Done
 
 if TYPE_CHECKING:
@@ -91,10 +91,10 @@
             return Done()
         return self._wanted(ask.engine, endpoint).runner.handle(ask)
 
-    def tell_of(self, name: str) -> list[Fact]:
+    def inspect(self, name: str) -> list[Fact]:
         """Tell an operator of an engine that is hosted here, by its id or its address."""
         hosted = [one.runner for one in list(self.hosted.values())]
-        return [fact for runner in hosted for fact in RunnerBeliefs(runner).endpoint(name)]
+        return [fact for runner in hosted for fact in RunnerInspector(runner).endpoint(name)]
 
     def leave(self) -> None:
         """Give all samples back, so that they go on elsewhere."""
@@ -163,7 +163,7 @@
     def _new_runner(self, address: str, endpoint: Endpoint) -> Sidecar:
         member = hosted_member(self.peers.member, address)
         engine = Engine(address, endpoint.pool, self.peers.member.name, self.clock)
-        right = order_right(
+        right = make_engine_lock(
             self.store,
             address,
             self.peers.member.name,
@@ -171,7 +171,7 @@
             self.clock,
             may_take=lambda: self._may_order(address),
         )
-        weights = Weights(engine, self.clock, right, self.versions_apart)
+        weights = WeightLoader(engine, self.clock, right, self.versions_apart)
         table = RunTable(self.clock.now)
         return Sidecar(member, engine, weights, table, self.peers.client, self.clock, self.metrics)
 
--- a/src/threadramp/runner/beliefs.py
+++ b/src/threadramp/runner/inspector.py
@@ -12,7 +12,7 @@
     from threadramp.runner.sidecar import Sidecar
 
 
-class RunnerBeliefs:
+class RunnerInspector:
     """What the runner of an engine believes of it."""
 
     def __init__(self, sidecar: Sidecar) -> None:
@@ -36,4 +36,4 @@
         yield Fact("order number", str(self.sidecar.weights.right.number), "the store", None)
 
 
-__all__ = ["RunnerBeliefs"]
+__all__ = ["RunnerInspector"]
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -12,7 +12,7 @@
 from threadramp.lots.names import given_name
 from threadramp.platform.headers import OTHER_INSTANCE_STATUS, read_answer, sample_headers
 from threadramp.report.log import log_state
-from threadramp.runner.engine_ends import has_ended
+from threadramp.runner.crash_detection import has_crashed
 from threadramp.runner.events import EventReader
 
 if TYPE_CHECKING:
@@ -192,7 +192,7 @@
         """
         if not broken or self.engine.is_leaving:
             return RunOutcome.CUT
-        ended = has_ended(self.engine.address, self.clock.now() - self.sent_at)
+        ended = has_crashed(self.engine.address, self.clock.now() - self.sent_at)
         return RunOutcome.CRASHED if ended else RunOutcome.CUT
 
     def _finish(self, outcome: RunOutcome, reason: str) -> None:
--- a/src/threadramp/runner/sidecar.py
+++ b/src/threadramp/runner/sidecar.py
@@ -41,7 +41,7 @@
     from threadramp.report.metrics import Metrics
     from threadramp.runner.engine import Engine
     from threadramp.runner.runs import RunTable
-    from threadramp.runner.weights import Weights
+    from threadramp.runner.weight_loader import WeightLoader
     from threadramp.wire.fleet import AnyReply
     from threadramp.wire.sync import SyncClient
 
@@ -58,7 +58,7 @@
         self,
         member: Member,
         engine: Engine,
-        weights: Weights,
+        weights: WeightLoader,
         table: RunTable,
         client: SyncClient,
         clock: Clock,
@@ -74,10 +74,10 @@
         self.gateways: dict[str, float] = {}
         self.stopped = threading.Event()
         self.leaving = False
-        self.sidecars = 0
+        self.sidecar_count = 0
         self.listed_again = clock.now()
         self.on_unlisted: Callable[[], None] = lambda: None
-        self.store_calls: StoreCalls | None = None
+        self.store_relay: StoreCalls | None = None
         self.beliefs: Beliefs | None = None
         self.anew_at: float | None = None
         engine.count_with(metrics.count)
@@ -96,7 +96,7 @@
             self.gateways[ask.address] = self.clock.now()
         if isinstance(ask, (Beat, Submit, Collect)):
             self.engine.learn(ask.facts)
-            self.sidecars = ask.facts.sidecars
+            self.sidecar_count = ask.facts.sidecars
             self._refresh_table()
             if not ask.facts.listed:
                 self.on_unlisted()
@@ -143,8 +143,8 @@
             return Updates(self.status(), tuple(updates), tuple(unknown))
         if isinstance(ask, Find):
             return Found(self.status(), self.table.find(ask.samples, ask.min_version))
-        if isinstance(ask, CallStore) and self.store_calls is not None:
-            return self.store_calls.answer(ask)
+        if isinstance(ask, CallStore) and self.store_relay is not None:
+            return self.store_relay.answer(ask)
         if isinstance(ask, Inspect) and self.beliefs is not None:
             return self.beliefs.answer(ask)
         return Status(self.status()) if isinstance(ask, (Beat, HurryLoad)) else Done()
--- a/src/threadramp/runner/weights.py
+++ b/src/threadramp/runner/weight_loader.py
@@ -40,7 +40,7 @@
     held_up: bool = False
 
 
-class Weights:
+class WeightLoader:
     """Decides when the engine is ordered to load what.
 
     :param right: gives the numbers that fence the orders
@@ -161,4 +161,4 @@
         self.not_before = self.clock.now() + ORDER_PAUSE_S
 
 
-__all__ = ["Weights"]
+__all__ = ["WeightLoader"]
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -223,7 +223,7 @@
         """Return what tells an operator what this process believes."""
         own = GatewayBeliefs(self.picture, self.peers, self.forwarder, self.owner.owned, clock)
         beliefs = own.added_to(Beliefs())
-        beliefs.add("endpoint", self.hosting.tell_of)
+        beliefs.add("endpoint", self.hosting.inspect)
         return beliefs
 
     def _note_silence(self) -> None:
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -16,12 +16,12 @@
 from threadramp.report.beliefs import Beliefs
 from threadramp.report.call_tally import CallTally
 from threadramp.report.metrics import Metrics
-from threadramp.runner.beliefs import RunnerBeliefs
 from threadramp.runner.engine import Engine
-from threadramp.runner.order_right import order_right
+from threadramp.runner.engine_lock import make_engine_lock
+from threadramp.runner.inspector import RunnerInspector
 from threadramp.runner.runs import RunTable
 from threadramp.runner.sidecar import Sidecar
-from threadramp.runner.weights import Weights
+from threadramp.runner.weight_loader import WeightLoader
 from threadramp.serve.api import ROLES, Process, in_background
 from threadramp.serve.figures import serve_metrics
 from threadramp.wire.fleet import decode_ask, decode_reply
@@ -56,16 +56,18 @@
         store = StoreClient(own.store.address, self._relay, health.observe, count=tally.note)
         engine = Engine(own.endpoint, own.pool, own.name, clock)
         apart_s = own.bounds.holders_apart_s
-        right = order_right(store, own.endpoint, own.name, apart_s, clock)
-        weights = Weights(engine, clock, right, self.own.weights.versions_apart)
+        right = make_engine_lock(store, own.endpoint, own.name, apart_s, clock)
+        weights = WeightLoader(engine, clock, right, self.own.weights.versions_apart)
         table = RunTable(clock.now)
         self.sidecar = Sidecar(member, engine, weights, table, client, clock, self.metrics)
         self.membership = Membership(member, store, own.store.lease_min_s)
-        self.membership.renew_s = lambda: renewal_s(self.sidecar.sidecars, own.store.reads_per_s)
+        self.membership.renew_s = lambda: renewal_s(
+            self.sidecar.sidecar_count, own.store.reads_per_s
+        )
         self.sidecar.on_unlisted = self.membership.not_listed
-        self.sidecar.store_calls = StoreCalls(store, health)
+        self.sidecar.store_relay = StoreCalls(store, health)
         beliefs = Beliefs()
-        beliefs.add("endpoint", RunnerBeliefs(self.sidecar).endpoint)
+        beliefs.add("endpoint", RunnerInspector(self.sidecar).endpoint)
         self.sidecar.beliefs = beliefs
         self.server = SyncServer(address, Packing(), self.sidecar.handle, THREADS, decode_ask)
         self.membership.start()
--- a/src/threadramp/sidecar/calls.py
+++ b/src/threadramp/sidecar/calls.py
@@ -10,7 +10,7 @@
 from threadramp.core.keys import Answer, Replay, Wait
 from threadramp.core.sidecar import CallRequest
 from threadramp.edge.endpoint_probe import probe_without_request
-from threadramp.runner.engine_ends import has_ended
+from threadramp.runner.crash_detection import has_crashed
 from threadramp.sidecar.engine import BrokenAnswerError, ChatRequest, NeverSentError
 from threadramp.sidecar.state import now
 from threadramp.wire.headers import REQUEST_ID
@@ -79,7 +79,7 @@
         """Return whether an answer was not whole because its endpoint has ended."""
         lived_s = now() - sent_at
         address = self.state.engine.address
-        ended = error.broken and has_ended(address, lived_s, probe_without_request)
+        ended = error.broken and has_crashed(address, lived_s, probe_without_request)
         return Reason.ENDPOINT_ENDED if ended else Reason.BROKEN_ANSWER
 
     def _send(self, call: IncomingCall, deadline: float) -> Answer:
--- a/tests/runner/conftest.py
+++ b/tests/runner/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.runner.test_weights import facts
+from tests.runner.test_weight_loader import facts
 from threadramp.fleet.clock import Clock
 from threadramp.platform.standins.stuttering import StutteringFront
 from threadramp.runner.engine import Engine
--- a/tests/runner/test_engine_ends.py
+++ b/tests/runner/test_crash_detection.py
@@ -6,7 +6,7 @@
 
 from threadramp.edge.endpoint_probe import EndpointState
 from threadramp.platform.standins.crashing import CrashingEndpoint, FrontProxy, WhileDown
-from threadramp.runner.engine_ends import has_ended
+from threadramp.runner.crash_detection import has_crashed
 
 RAN_S = 0.5
 AT_ONCE_S = 0.0
@@ -21,19 +21,19 @@
 
 def test_one_that_lives_has_not_ended(engine):
     engine.cut()
-    assert not has_ended(engine.address, RAN_S)
+    assert not has_crashed(engine.address, RAN_S)
 
 
 def test_one_that_crashed_under_a_sample_has(engine):
     engine.crash()
-    assert has_ended(engine.address, RAN_S)
+    assert has_crashed(engine.address, RAN_S)
 
 
 def test_a_sample_that_was_not_begun_is_not_to_blame():
     """The engine was down before, or is full."""
-    assert not has_ended("", AT_ONCE_S, lambda address: EndpointState.BREAKS)
+    assert not has_crashed("", AT_ONCE_S, lambda address: EndpointState.BREAKS)
 
 
 @pytest.mark.parametrize("state", [EndpointState.LISTENS, EndpointState.UNKNOWN])
 def test_what_tells_nothing_is_no_end(state):
-    assert not has_ended("", RAN_S, lambda address: state)
+    assert not has_crashed("", RAN_S, lambda address: state)
--- a/tests/runner/test_order_right.py
+++ b/tests/runner/test_engine_lock.py
@@ -9,7 +9,7 @@
 from tests.stores import MemoryStore
 from threadramp.fleet.rights import AGAIN_S, PROVEN_S, Right
 from threadramp.platform.store_model import Item, StoreUnknownError
-from threadramp.runner.order_right import HAND_OVER_MARGIN_S, order_right
+from threadramp.runner.engine_lock import HAND_OVER_MARGIN_S, make_engine_lock
 
 APART_S = 3.0
 KEY = "engine/10.0.0.1:80"
@@ -22,7 +22,7 @@
 
 
 def right(store, holder, clock, **how) -> Right:
-    return order_right(store, "10.0.0.1:80", holder, APART_S, clock, **how)
+    return make_engine_lock(store, "10.0.0.1:80", holder, APART_S, clock, **how)
 
 
 def test_who_takes_it_first_orders_at_once_and_asks_for_each_order(store, clock):
--- a/tests/runner/test_sidecar.py
+++ b/tests/runner/test_sidecar.py
@@ -10,7 +10,7 @@
 
 import threadramp.runner.sidecar as sidecar_module
 from tests.runner.test_runs import order
-from tests.runner.test_weights import facts
+from tests.runner.test_weight_loader import facts
 from threadramp.fleet.clock import Clock
 from threadramp.lots.model import Sample
 from threadramp.report.metrics import Metrics
--- a/tests/runner/test_starts.py
+++ b/tests/runner/test_starts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.runner.test_weights import facts
+from tests.runner.test_weight_loader import facts
 from threadramp.fleet.clock import Clock
 from threadramp.fleet.model import Start, WeightTarget
 from threadramp.runner.engine import Engine
--- a/tests/runner/test_taken_over.py
+++ b/tests/runner/test_taken_over.py
@@ -4,12 +4,12 @@
 
 import time
 
-from tests.runner.test_weights import facts
+from tests.runner.test_weight_loader import facts
 from tests.stores import MemoryStore
 from threadramp.fleet.clock import Clock
 from threadramp.runner.engine import Engine
-from threadramp.runner.order_right import order_right
-from threadramp.runner.weights import ANSWERS_S, Weights
+from threadramp.runner.engine_lock import make_engine_lock
+from threadramp.runner.weight_loader import ANSWERS_S, WeightLoader
 
 APART_S = 3.0
 
@@ -25,16 +25,16 @@
     """
     store = MemoryStore()
     for holder in ("side", "front"):
-        order_right(store, engine_address, holder, APART_S, clock).proven_number()
+        make_engine_lock(store, engine_address, holder, APART_S, clock).proven_number()
     clock.at += 10.0
-    front = order_right(store, engine_address, "front", APART_S, clock)
+    front = make_engine_lock(store, engine_address, "front", APART_S, clock)
     front.proven_number()
     clock.at += 10.0
     assert front.proven_number()  # its wait is over, it has not ordered yet
-    again = order_right(store, engine_address, "front", APART_S, clock)
+    again = make_engine_lock(store, engine_address, "front", APART_S, clock)
     mine = Engine(engine_address, "p", "front", Clock())
     mine.learn(facts(version=2))
-    weights = Weights(mine, Clock(), again)
+    weights = WeightLoader(mine, Clock(), again)
     began = time.monotonic()
     while not engine.arrived:
         mine.read_report()
--- a/tests/runner/test_weights.py
+++ b/tests/runner/test_weight_loader.py
@@ -11,7 +11,7 @@
 from threadramp.policy.model_share import ModelShare
 from threadramp.runner import engine as engine_module
 from threadramp.runner.engine import Engine
-from threadramp.runner.weights import ANSWERS_S, Weights
+from threadramp.runner.weight_loader import ANSWERS_S, WeightLoader
 from threadramp.wire.runner import ANY_MODEL, Facts
 
 
@@ -53,7 +53,7 @@
     return made
 
 
-def turn_until(weights: Weights, done, timeout_s: float = 5.0) -> None:
+def turn_until(weights: WeightLoader, done, timeout_s: float = 5.0) -> None:
     until = time.monotonic() + timeout_s
     while not done():
         assert time.monotonic() < until
@@ -69,7 +69,7 @@
     for longer than a version counts as new, and an engine that is one behind makes up for nothing.
     """
     right = Right(number=0)
-    weights = Weights(sidecar_engine, Clock(), right)
+    weights = WeightLoader(sidecar_engine, Clock(), right)
     sidecar_engine.learn(facts(version=2))
     until = time.monotonic() + ModelShare({"m": 0}).new_s(1) + 0.5
     turn_until(weights, lambda: time.monotonic() > until)
@@ -79,7 +79,7 @@
 
 
 def test_the_named_version_is_ordered_once(sidecar_engine, engine):
-    weights = Weights(sidecar_engine, Clock(), Right())
+    weights = WeightLoader(sidecar_engine, Clock(), Right())
     sidecar_engine.learn(facts(version=2))
     turn_until(weights, lambda: engine.versions["m"] == 2 and sidecar_engine.ordered is None)
     for _ in range(5):
@@ -92,7 +92,7 @@
 
 def test_an_order_without_an_answer_is_not_given_twice_if_it_was_taken(sidecar_engine, engine):
     engine.faults["unanswered"] = 1
-    weights = Weights(sidecar_engine, Clock(), Right())
+    weights = WeightLoader(sidecar_engine, Clock(), Right())
     sidecar_engine.learn(facts(version=2))
     turn_until(weights, lambda: engine.versions["m"] == 2)
     time.sleep(0.6)  # longer than the pause between two orders
@@ -103,7 +103,7 @@
 
 def test_orders_of_all_models_are_fenced_by_the_right(sidecar_engine, engine):
     """Each model's own revision let a lower number follow a higher one."""
-    weights = Weights(sidecar_engine, Clock(), Right(110))
+    weights = WeightLoader(sidecar_engine, Clock(), Right(110))
     targets = (WeightTarget("m", 5, 100),)
     share = ModelShare({"m": 0})
     sidecar_engine.learn(
@@ -116,7 +116,7 @@
 def test_who_does_not_hold_the_right_orders_nothing(sidecar_engine, engine):
     right = Right(0)
     sidecar_engine.learn(facts(version=2, revision=40))
-    weights = Weights(sidecar_engine, Clock(), right)
+    weights = WeightLoader(sidecar_engine, Clock(), right)
     sidecar_engine.read_report()
     weights.turn()
     assert engine.orders == []
@@ -127,7 +127,7 @@
 
 
 def test_an_engine_that_started_anew_gets_no_orders_as_the_old_one(sidecar_engine, engine):
-    weights = Weights(sidecar_engine, Clock(), Right())
+    weights = WeightLoader(sidecar_engine, Clock(), Right())
     engine.instance = "i-2"
     sidecar_engine.learn(facts(version=2))
     sidecar_engine.read_report()
@@ -139,7 +139,7 @@
 
 
 def test_an_engine_waits_for_its_turn(sidecar_engine, engine, clock):
-    weights = Weights(sidecar_engine, clock, Right())
+    weights = WeightLoader(sidecar_engine, clock, Right())
     now = int(clock.time_of_day() + 0.5) % 4
     sidecar_engine.learn(facts(version=2, share=ModelShare({"m": 0}, turn=(now + 2) % 4, turns=4)))
     sidecar_engine.read_report()
@@ -153,7 +153,7 @@
 
 
 def test_a_hurried_engine_does_not_wait_for_its_turn(sidecar_engine, engine, clock):
-    weights = Weights(sidecar_engine, clock, Right())
+    weights = WeightLoader(sidecar_engine, clock, Right())
     now = int(clock.time_of_day() + 0.5) % 4
     sidecar_engine.learn(facts(version=3, share=ModelShare({"m": 0}, turn=(now + 2) % 4, turns=4)))
     sidecar_engine.read_report()
@@ -166,7 +166,7 @@
     # The order is answered and the load goes on, however slow the stand-in is.
     monkeypatch.setattr(engine_module, "ORDER_TIMEOUT_S", 2.0)
     engine.faults["load_s"] = 5.0
-    weights = Weights(sidecar_engine, Clock(), Right())
+    weights = WeightLoader(sidecar_engine, Clock(), Right())
     sidecar_engine.learn(facts(version=2))
     turn_until(weights, lambda: engine.orders)
     assert sidecar_engine.is_ready
@@ -199,7 +199,7 @@
     right = Right()
     right.proven = False
     sidecar_engine.learn(facts(version=2))
-    weights = Weights(sidecar_engine, Clock(), right)
+    weights = WeightLoader(sidecar_engine, Clock(), right)
     until = time.monotonic() + 1.2
     turn_until(weights, lambda: time.monotonic() > until)
     assert engine.arrived == []
@@ -214,14 +214,14 @@
     right = Right()
     right.shared = True
     sidecar_engine.learn(facts(version=2))
-    weights = Weights(sidecar_engine, Clock(), right)
+    weights = WeightLoader(sidecar_engine, Clock(), right)
     began = time.monotonic()
     turn_until(weights, lambda: engine.arrived)
     assert time.monotonic() - began >= ANSWERS_S
 
 
 def test_an_order_goes_on_a_connection_of_its_own(sidecar_engine, engine):
-    weights = Weights(sidecar_engine, Clock(), Right())
+    weights = WeightLoader(sidecar_engine, Clock(), Right())
     sidecar_engine.learn(facts(version=2))
     sidecar_engine.read_report()
     lines = sidecar_engine.report_connections
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -43,7 +43,7 @@
 HEADS = "src/threadramp/edge/heads.py"
 REPORTS = "src/threadramp/duties/usage_reports.py"
 RIGHTS = "src/threadramp/fleet/rights.py"
-WEIGHTS = "src/threadramp/runner/weights.py"
+WEIGHTS = "src/threadramp/runner/weight_loader.py"
 LATE_BYTES = "src/threadramp/wire/late_bytes.py"
 RUNNER_ENGINE = "src/threadramp/runner/engine.py"
 TRUE_TIME = "src/threadramp/policy/true_time.py"
@@ -301,7 +301,7 @@
     Removal.of_one(
         "ends behind a port held against the sample",
         "sample_that_crashes_engines_behind_fronts",
-        "src/threadramp/runner/engine_ends.py",
+        "src/threadramp/runner/crash_detection.py",
         "return may_have_ended(Break(lived_s, found.took_s))",
         "return False",
     ),
