--- a/src/threadramp/runner/__init__.py
+++ b/src/threadramp/runner/__init__.py
@@ -1,1 +1,1 @@
-"""The work beside an endpoint: running samples and changing weights."""
+"""Runs samples at an engine and loads published weight versions into it."""
--- a/src/threadramp/runner/crash_detection.py
+++ b/src/threadramp/runner/crash_detection.py
@@ -1,8 +1,9 @@
-"""Tells whether an engine ended that broke the connection of a sample.
+"""Decides whether an engine that broke the connection of a sample has crashed.
 
-Behind a front its port goes on taking connections. The runner stands beside its engine, so no link
-lies between that could flap, and it names the next start by the birth that the engine reports: an
-answer of the same start takes back what was held.
+Behind a reverse proxy the engine's port goes on accepting connections. The runner is on the same
+box as its engine, so no flapping link can break a connection between them. The next incarnation is
+identified by the start time in the engine's report; a response of the same incarnation retracts a
+crash that was attributed to the sample.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 
 
 def has_crashed(
-    address: str, lived_s: float, look: Callable[[str], EndpointState] = look_at
+    address: str, lived_s: float, probe: Callable[[str], EndpointState] = look_at
 ) -> bool:
-    """Return whether an engine has ended, as far as can be seen now.
+    """Return whether an engine has crashed, as far as a probe shows now.
 
-    :param lived_s: seconds from the sending of a sample until its connection broke
+    :param lived_s: seconds from sending a sample until its connection broke
+    :param probe: returns what a new connection to the engine shows
     """
-    found = timed_look(address, look)
+    found = timed_look(address, probe)
     if found.state is EndpointState.BREAKS:
         return may_have_ended(Break(lived_s, found.took_s))
     return found.state is EndpointState.ENDED
--- a/src/threadramp/runner/engine.py
+++ b/src/threadramp/runner/engine.py
@@ -1,4 +1,4 @@
-"""The engine beside a sidecar: what is known of it and how it is called."""
+"""The engine that a sidecar serves: its known state, and the requests sent to it."""
 
 from __future__ import annotations
 
@@ -33,16 +33,21 @@
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import WeightTarget
 
-REPORT_TIMEOUT_S = 0.3  # from the same box; a silent connection is found out within this
-ORDER_TIMEOUT_S = 0.3  # taken or refused within some ms; nothing else is looked at meanwhile
-GAPS = 32  # of the last events, from which the usual gap is taken
-GAP_AGE_S = 2.0  # older gaps count only while there are no newer ones
-GAP_KEPT_S = 12.0  # an even older one says nothing; slow spells lasted 8 s
-NOTHING_TOLD = Facts(endpoints_revision=-1, targets_revision=-1)  # older than all that is told
+# The engine is on the same box; a connection that passes nothing is detected within this time.
+REPORT_TIMEOUT_S = 0.3
+# An order is accepted or refused within a few ms; the engine loop does nothing else meanwhile.
+ORDER_TIMEOUT_S = 0.3
+MAX_GAPS = 32  # latest gaps between events, from which the median is computed
+RECENT_GAP_S = 2.0  # older gaps are used only while there are no newer ones
+GAP_TTL_S = 12.0  # even older gaps are ignored; slow periods lasted 8 s
+NO_FACTS = Facts(endpoints_revision=-1, targets_revision=-1)  # older than any received facts
 
 
 class Engine:
-    """The one engine of a sidecar."""
+    """The one engine of a sidecar.
+
+    :param holder: name of the box that sends the orders
+    """
 
     def __init__(self, address: str, pool: str, holder: str, clock: Clock) -> None:
         self.address = address
@@ -50,285 +55,303 @@
         self.holder = holder
         self.clock = clock
         self.connections = Connections()  # for samples
-        # Reports and orders name no id: what a sample or another report left on a connection would
-        # pass for their answer.
-        self.report_connections = Connections()
-        self.facts = NOTHING_TOLD
+        # For reports and orders. They carry no request id, so a response left over on a connection
+        # from a sample or another report would be taken for theirs.
+        self.control_connections = Connections()
+        self.facts = NO_FACTS
         self.report: EngineReport | None = None
-        self.answers_since = float("inf")
-        self.is_unanswered = False  # the turn before brought no report
-        self.ordered: WeightTarget | None = None
-        self.ordered_model = ""
-        self.over: Start | None = None
-        self.told_born = 0
-        self.known_start: Start | None = None
-        self.on_start: Callable[[], None] = lambda: None
-        self.gaps: deque[tuple[float, float]] = deque(maxlen=GAPS)
-        self.on_silence: Callable[[], None] = lambda: None
+        self.responsive_since = float("inf")  # infinite while the engine does not answer
+        self.last_report_failed = False
+        self.pending_order: WeightTarget | None = None
+        self.pending_model = ""
+        self.superseded: Start | None = None
+        self.reported_born = 0
+        self.known_incarnation: Start | None = None
+        self.on_new_incarnation: Callable[[], None] = lambda: None
+        self.event_gaps: deque[tuple[float, float]] = deque(maxlen=MAX_GAPS)
+        self.on_suspect_connections: Callable[[], None] = lambda: None
         self.lock = threading.Lock()
 
     @property
     def is_loading(self) -> bool:
-        """Return whether it changes weights or is about to."""
-        return self.ordered is not None or (self.report is not None and self.report.busy)
+        """Return whether the engine is loading weights or has been ordered to."""
+        return self.pending_order is not None or (self.report is not None and self.report.busy)
 
     @property
-    def loading(self) -> str:
-        """Return the model whose weights change now or are about to, empty if none do.
+    def loading_model(self) -> str:
+        """Return the model whose weights are being loaded or about to be, empty if there is none.
 
-        Only its samples are rejected meanwhile; those of other models run as ever. What an order
-        concerns that an earlier process gave is not known.
+        Only samples of that model are rejected meanwhile; those of other models run as usual. The
+        result is ``ANY_MODEL`` for an order of an earlier process, whose model is not known.
         """
-        return (self.ordered_model or ANY_MODEL) if self.is_loading else ""
+        return (self.pending_model or ANY_MODEL) if self.is_loading else ""
 
     @property
-    def is_known(self) -> bool:
-        """Return whether it answers and is the start that gateways told."""
-        named = bool(self.facts.instance)
-        return self.report is not None and named and self.start != self.over
+    def is_confirmed(self) -> bool:
+        """Return whether the engine answers and is the incarnation that gateways reported."""
+        has_id = bool(self.facts.instance)
+        return self.report is not None and has_id and self.incarnation != self.superseded
 
     @property
-    def start(self) -> Start:
-        """Return its newest start, by what gateways told and by what it says of itself.
+    def incarnation(self) -> Start:
+        """Return the newest incarnation, by the gateways' facts and the engine's own report.
 
-        It may start again under its id and say so before gateways do; if its id is another one,
-        it refuses what is sent to this one.
+        An engine may restart under the same id and report that before the gateways do. If it
+        restarts under another id, it refuses requests that name this one.
         """
-        return Start(self.facts.instance, max(self.facts.born, self.told_born))
+        return Start(self.facts.instance, max(self.facts.born, self.reported_born))
 
     @property
     def is_ready(self) -> bool:
-        """Return whether a sample would start there now."""
-        return self.is_known and not self.is_leaving
+        """Return whether a sample would start at the engine now."""
+        return self.is_confirmed and not self.is_leaving
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether it wants no new work, by its own word or by the list of endpoints.
+        """Return whether the engine wants no new work, by its report or the list of endpoints.
 
-        What the list says of an older start than the one that reports does not count.
+        The list is ignored where it describes an older incarnation than the reporting one.
         """
-        listed = self.facts.leaving and not 0 < self.facts.born < self.told_born
+        listed = self.facts.leaving and not 0 < self.facts.born < self.reported_born
         return listed or (self.report is not None and self.report.leaving)
 
     def endpoint(self) -> Endpoint:
         """Return the engine as an endpoint to send requests to."""
-        start = self.start
+        incarnation = self.incarnation
         return Endpoint(
-            start.instance, self.pool, self.address, "", self.facts.slots, born=start.born
+            incarnation.instance,
+            self.pool,
+            self.address,
+            "",
+            self.facts.slots,
+            born=incarnation.born,
         )
 
-    def learn(self, facts: Facts) -> None:
-        """Take over what a gateway knows, unless it is older than what is known.
+    def update_facts(self, facts: Facts) -> None:
+        """Store the facts that a gateway sent, except for what is older than the stored facts.
 
-        The named versions are as new as their own revision, all else as the list of endpoints.
+        The published versions are compared by the revision of the targets, everything else by the
+        revision of the list of endpoints.
         """
         with self.lock:
-            held = self.facts
-            listed = facts if facts.endpoints_revision >= held.endpoints_revision else held
-            if facts.instance == held.instance and facts.start.is_older_than(held.start):
-                listed = held
-            named = facts if facts.targets_revision >= held.targets_revision else held
-            if listed.instance != held.instance:
-                self.told_born = 0
+            stored = self.facts
+            listed = facts if facts.endpoints_revision >= stored.endpoints_revision else stored
+            if facts.instance == stored.instance and facts.start.is_older_than(stored.start):
+                listed = stored
+            published = facts if facts.targets_revision >= stored.targets_revision else stored
+            if listed.instance != stored.instance:
+                self.reported_born = 0
             self.facts = replace(
                 listed,
-                slots=listed.slots or held.slots,
-                targets=named.targets,
-                targets_revision=named.targets_revision,
+                slots=listed.slots or stored.slots,
+                targets=published.targets,
+                targets_revision=published.targets_revision,
             )
-        self._look_at_start()
+        self._check_incarnation()
 
-    def _look_at_start(self) -> None:
-        """Forget what belongs to the start before once there is another one.
+    def _check_incarnation(self) -> None:
+        """Drop the state of the previous incarnation once there is a new one.
 
-        A pending order, the usual gap and the kept connections; its samples stand still.
+        That is a pending order, the event gaps and the idle connections. Samples that were sent to
+        the previous incarnation make no more progress.
         """
         with self.lock:
-            start, before = self.start, self.known_start
-            if start == before:
+            incarnation, before = self.incarnation, self.known_incarnation
+            if incarnation == before:
                 return
-            self.known_start = start
+            self.known_incarnation = incarnation
         log_state(
             "engine_start",
-            instance=start.instance,
-            born=start.born,
+            instance=incarnation.instance,
+            born=incarnation.born,
             before=before,
             revision=self.facts.endpoints_revision,
         )
-        self._begin_start()
+        self._reset_incarnation_state()
 
-    def _begin_start(self) -> None:
-        self.ordered = None
-        self.gaps.clear()
-        self.forget_connections()
-        self.on_start()
+    def _reset_incarnation_state(self) -> None:
+        self.pending_order = None
+        self.event_gaps.clear()
+        self.close_idle_connections()
+        self.on_new_incarnation()
 
-    def forget_connections(self) -> None:
-        """Close what is kept; if one passes nothing any more, the others may not either."""
+    def close_idle_connections(self) -> None:
+        """Close all idle connections; if one passes nothing any more, the others may not either."""
         self.connections.forget(set())
-        self.report_connections.forget(set())
+        self.control_connections.forget(set())
 
-    def count_with(self, count: Callable[[str, str], None]) -> None:
-        """Let what comes on connections and is not asked for be counted, by kind and label."""
+    def set_counter(self, count: Callable[[str, str], None]) -> None:
+        """Set the function that counts unrequested responses on connections, by kind and label."""
         self.connections.count = count
-        self.report_connections.count = count
+        self.control_connections.count = count
 
-    def is_another(self, start: Start) -> None:
-        """Note that the engine is not that start any more; gateways will tell the next one."""
-        if self.over != start:
-            self.over = start
-            log_state("engine_is_another", instance=start.instance, born=start.born)
+    def mark_superseded(self, incarnation: Start) -> None:
+        """Record that this incarnation is gone; gateways will report the next one."""
+        if self.superseded != incarnation:
+            self.superseded = incarnation
+            log_state("engine_superseded", instance=incarnation.instance, born=incarnation.born)
 
     def read_report(self) -> bool:
-        """Ask the engine for its report; false if it did not answer."""
-        had = self.report is not None
+        """Request the engine's report.
+
+        :returns: whether a current report was received
+        """
+        had_report = self.report is not None
         try:
-            report = self._sure_report()
+            report = self._fetch_consistent_report()
         except (ExchangeError, ValueError) as error:
-            if had:
+            if had_report:
                 log_state("engine_lost", error=str(error))
             self.report = None
-            self.answers_since = float("inf")
-            self.is_unanswered = True
+            self.responsive_since = float("inf")
+            self.last_report_failed = True
             return False
-        self.is_unanswered = False
-        if report is not None and not had:
-            self.answers_since = self.clock.now()
-            log_state("engine_regained", versions=report.versions, orders=report.orders)
+        self.last_report_failed = False
+        if report is not None and not had_report:
+            self.responsive_since = self.clock.now()
+            log_state("engine_recovered", versions=report.versions, orders=report.orders)
         if report is not None and 0 < report.born < self.facts.born:
-            log_state("older_report", born=report.born, known=self.facts.born)
-            return False  # of a start that is over
-        self._note_leaving(report)
+            log_state("outdated_report", born=report.born, known=self.facts.born)
+            return False  # from a previous incarnation
+        self._log_leaving(report)
         before, self.report = self.report, report
         if report is not None:
-            self.told_born = max(self.told_born, report.born)
-        self._look_at_start()
+            self.reported_born = max(self.reported_born, report.born)
+        self._check_incarnation()
         if before is not None and report is not None and report.orders < before.orders:
-            log_state("engine_counts_anew", orders=report.orders, before=before.orders)
-            self._begin_start()  # only a new start does, also where it does not tell its birth
+            log_state("engine_counters_reset", orders=report.orders, before=before.orders)
+            # Only a restart resets the count, also where the report has no start time.
+            self._reset_incarnation_state()
         return report is not None
 
-    def order(
+    def send_order(
         self,
         target: WeightTarget,
         fence: int,
         orders_before: int,
-        still_proven: Callable[[], bool],
+        is_verified: Callable[[], bool],
     ) -> OrderOutcome:
-        """Order the engine to change to a version of a model.
+        """Order the engine to load a version of a model.
 
-        :param still_proven: whether this process may order yet
+        :param fence: fencing token of the engine lock
+        :param orders_before: number of orders that the engine had accepted by its last report
+        :param is_verified: returns whether the verification of the engine lock is still valid
         """
         body = order_body(target.model, target.version, self.holder, fence, orders_before)
         headers = order_headers(self.address, self.facts.instance, len(body))
         try:
-            exchange = self._open_for_report(ORDER_TIMEOUT_S, on_new=True)
+            exchange = self._open_control_exchange(ORDER_TIMEOUT_S, on_new=True)
         except ExchangeError as error:
             log_state("order_not_sent", version=target.version, reason=str(error))
             return OrderOutcome.NOT_SENT
         try:
             drop_what_is_late(exchange.connection.sock, ORDER_TIMEOUT_S)
-            exchange.send("POST", ORDER_PATH, headers, body_in_time(body, still_proven))
-            answer = exchange.read(ORDER_TIMEOUT_S)
+            exchange.send("POST", ORDER_PATH, headers, body_in_time(body, is_verified))
+            response = exchange.read(ORDER_TIMEOUT_S)
         except TooLateError:
-            log_state("order_not_sent", version=target.version, reason="the proof is too old")
+            log_state(
+                "order_not_sent",
+                version=target.version,
+                reason="the verification of the engine lock expired",
+            )
             return OrderOutcome.NOT_SENT
         except ExchangeError as error:
             log_state("order_unanswered", version=target.version, error=str(error))
             return OrderOutcome.UNKNOWN
         finally:
             exchange.close()
-        return read_order_answer(answer.head.status)
+        return read_order_answer(response.head.status)
 
-    def keep(self, exchange: Exchange, answer: Answer) -> None:
-        """Keep a connection for the next sample, one for each slot."""
-        self.connections.keep(exchange, answer, self.clock.now(), self.facts.slots)
+    def release_connection(self, exchange: Exchange, response: Answer) -> None:
+        """Return the connection to the pool; at most one idle connection per slot is kept."""
+        self.connections.keep(exchange, response, self.clock.now(), self.facts.slots)
 
-    def add_gap(self, seconds: float) -> None:
-        """Note the time between two events of a sample."""
-        self.gaps.append((self.clock.now(), seconds))
+    def add_event_gap(self, seconds: float) -> None:
+        """Record the time between two events of a sample."""
+        self.event_gaps.append((self.clock.now(), seconds))
 
-    def gap_ms(self) -> float:
-        """Return the usual time between two events lately, 0 if there were none."""
+    def median_gap_ms(self) -> float:
+        """Return the median milliseconds between two recent events, 0 if there were none."""
         now = self.clock.now()
-        kept = [(at, seconds) for at, seconds in list(self.gaps) if at >= now - GAP_KEPT_S]
-        recent = [seconds for at, seconds in kept if at >= now - GAP_AGE_S]
-        chosen = recent or [seconds for _, seconds in kept]
+        valid = [(at, seconds) for at, seconds in list(self.event_gaps) if at >= now - GAP_TTL_S]
+        recent = [seconds for at, seconds in valid if at >= now - RECENT_GAP_S]
+        chosen = recent or [seconds for _, seconds in valid]
         return median(chosen) * 1000 if chosen else 0.0
 
-    def _sure_report(self) -> EngineReport | None:
-        """Return the engine's report; what falls is asked for again, on a new connection.
+    def _fetch_consistent_report(self) -> EngineReport | None:
+        """Return the engine's report; one that regresses is requested again on a new connection.
 
-        Counts and versions rise while a start lives. A second copy of an older report shows lower
-        ones, as a new start does, and nothing in it tells them apart.
+        Order count and versions never decrease within an incarnation. A duplicate of an older
+        report shows lower values, as a new incarnation does, and its content does not tell which.
 
-        :raises ExchangeError: if no answer came
-        :raises ValueError: if it cannot be read
+        :raises ExchangeError: if no response arrived
+        :raises ValueError: if the report cannot be decoded
         """
-        report, is_first = self._asked_report()
+        report, is_first = self._fetch_report_with_retry()
         before = self.report
         if is_first or report is None or before is None or not report.is_behind(before):
             return report
-        log_state("report_falls", orders=report.orders, before=before.orders)
-        self.report_connections.forget(set())
-        return self._ask_for_report(self._open_for_report(REPORT_TIMEOUT_S))
+        log_state("report_regressed", orders=report.orders, before=before.orders)
+        self.control_connections.forget(set())
+        return self._fetch_report(self._open_control_exchange(REPORT_TIMEOUT_S))
 
-    def _asked_report(self) -> tuple[EngineReport | None, bool]:
-        """Return the engine's report, by a new connection if the first question brought none.
+    def _fetch_report_with_retry(self) -> tuple[EngineReport | None, bool]:
+        """Return the engine's report, retried on a new connection if the first request failed.
 
-        :returns: with it, whether it is the first answer on its connection
-        :raises ExchangeError: if no answer came
-        :raises ValueError: if it cannot be read
+        :returns: the report, and whether it is the first response on its connection
+        :raises ExchangeError: if no response arrived
+        :raises ValueError: if the report cannot be decoded
         """
-        first = exchange = self._open_for_report(REPORT_TIMEOUT_S)
+        first = exchange = self._open_control_exchange(REPORT_TIMEOUT_S)
         errors: list[Exception] = []
         while True:
             try:
-                report = self._ask_for_report(exchange)
+                report = self._fetch_report(exchange)
                 break
             except (ExchangeError, ValueError) as error:
                 errors.append(error)
                 if not exchange.reused and not self._may_have_paused(errors):
                     raise
-            self.forget_connections()
-            exchange = self._open_for_report(REPORT_TIMEOUT_S)
-        if errors and first.reused and _is_silence(errors[0]):
-            # The engine answers, so the connection was what failed.
+            self.close_idle_connections()
+            exchange = self._open_control_exchange(REPORT_TIMEOUT_S)
+        if errors and first.reused and _is_timeout(errors[0]):
+            # The engine answers, so the first connection was at fault.
             log_state("engine_connections_suspect", error=str(errors[0]))
-            self.on_silence()
+            self.on_suspect_connections()
         elif errors:
-            log_state("report_repeated", error=str(errors[-1]))
+            log_state("report_retried", error=str(errors[-1]))
         return report, not exchange.reused
 
     def _may_have_paused(self, errors: list[Exception]) -> bool:
-        """Return whether a pause of the box explains that the last question brought no report.
+        """Return whether a pause of the box explains why the last request brought no report.
 
-        One uses up the time of the question that it meets, and the next one is answered. An engine
-        that is lost is asked once a turn, so that one that comes back is seen no later.
+        A pause uses up the timeout of the request that it hits, and the next one is answered. An
+        engine that is already lost is requested only once per pass, so that its recovery is not
+        detected later.
 
-        :param errors: what the questions of this turn ended in
+        :param errors: errors of this pass's requests
         """
-        silences = sum(_is_silence(error) for error in errors)
-        return _is_silence(errors[-1]) and silences == 1 and not self.is_unanswered
+        timeouts = sum(_is_timeout(error) for error in errors)
+        return _is_timeout(errors[-1]) and timeouts == 1 and not self.last_report_failed
 
-    def _ask_for_report(self, exchange: Exchange) -> EngineReport | None:
+    def _fetch_report(self, exchange: Exchange) -> EngineReport | None:
         exchange.send("GET", REPORT_PATH, {"Host": self.address}, b"")
-        answer = exchange.read(REPORT_TIMEOUT_S)
-        self.report_connections.keep(exchange, answer, self.clock.now())
-        return read_report(answer.body) if answer.head.status == 200 else None
+        response = exchange.read(REPORT_TIMEOUT_S)
+        self.control_connections.keep(exchange, response, self.clock.now())
+        return read_report(response.body) if response.head.status == 200 else None
 
-    def _open_for_report(self, timeout_s: float, on_new: bool = False) -> Exchange:
+    def _open_control_exchange(self, timeout_s: float, on_new: bool = False) -> Exchange:
         now = self.clock.now()
-        return self.report_connections.open(self.endpoint(), now, timeout_s, on_new)
+        return self.control_connections.open(self.endpoint(), now, timeout_s, on_new)
 
-    def _note_leaving(self, report: EngineReport | None) -> None:
-        """Log that the engine says for the first time that it leaves."""
-        said = self.report is not None and self.report.leaving
-        if report is not None and report.leaving and not said:
-            log_state("engine_leaves", instance=self.facts.instance, listed=self.facts.leaving)
+    def _log_leaving(self, report: EngineReport | None) -> None:
+        """Log when the engine first reports that it is leaving."""
+        was_leaving = self.report is not None and self.report.leaving
+        if report is not None and report.leaving and not was_leaving:
+            log_state("engine_leaving", instance=self.facts.instance, listed=self.facts.leaving)
 
 
-def _is_silence(error: Exception) -> bool:
+def _is_timeout(error: Exception) -> bool:
     return isinstance(error, ExchangeError) and error.late
 
 
--- a/src/threadramp/runner/engine_lock.py
+++ b/src/threadramp/runner/engine_lock.py
@@ -1,4 +1,4 @@
-"""The right to order an engine, of which one process at a time is the holder."""
+"""The lock on sending orders to an engine; one process at a time holds it."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from threadramp.fleet.clock import Clock
     from threadramp.platform.store import StoreClient
 
-RIGHT_PREFIX = "engine/"
-# In which an order that left just before its proof was too old reaches the engine or is dropped:
-# its box's kernel gives it up, also where the process stands still or has ended.
-ARRIVAL_S = 1.0
-# Beyond the time in which two holders may not give orders in turns.
-HAND_OVER_MARGIN_S = PROVEN_S + ARRIVAL_S
+LOCK_PREFIX = "engine/"
+# An order that is sent just before its verification expires reaches the engine or is dropped within
+# this time: the kernel of the sender's box drops it, also if the process is suspended or has ended.
+MAX_DELIVERY_S = 1.0
+# Added to the minimum time between orders of two holders.
+TAKEOVER_MARGIN_S = PROVEN_S + MAX_DELIVERY_S
 
 
 def make_engine_lock(
@@ -28,14 +28,14 @@
     clock: Clock,
     may_take: Callable[[], bool] = lambda: True,
 ) -> Right:
-    """Return the right of one process to order one engine.
+    """Return the lock of one engine, for one process to acquire.
 
-    :param engine: its address
-    :param apart_s: holders may not give orders in turns within this time
-    :param may_take: whether it may be taken from another holder, or where nobody holds it
+    :param engine: address of the engine
+    :param apart_s: minimum time between orders of two holders
+    :param may_take: returns whether the lock may be taken, from another holder or while it is free
     """
-    wait_s = apart_s + HAND_OVER_MARGIN_S
-    return Right(store, RIGHT_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
+    wait_s = apart_s + TAKEOVER_MARGIN_S
+    return Right(store, LOCK_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
 
 
-__all__ = ["ARRIVAL_S", "HAND_OVER_MARGIN_S", "RIGHT_PREFIX", "make_engine_lock"]
+__all__ = ["LOCK_PREFIX", "MAX_DELIVERY_S", "TAKEOVER_MARGIN_S", "make_engine_lock"]
--- a/src/threadramp/runner/events.py
+++ b/src/threadramp/runner/events.py
@@ -1,4 +1,4 @@
-"""Takes the events of a sample's stream apart, whatever pieces its bytes come in."""
+"""Parses the events of a sample's stream, independent of how its bytes are split into reads."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 class Event:
     """One event of a stream.
 
-    :param number: counts from 1 over the whole text of the sample
-    :param version: of the weights, from this event on; 0 if it names none
-    :param raw: its bytes as they came
+    :param number: position in the text of the sample, from 1
+    :param version: weight version from this event on, 0 if the event has none
+    :param raw: its bytes as received
     """
 
     number: int
@@ -26,24 +26,24 @@
 
 
 class EventReader:
-    """Collects bytes and returns whole events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
         self.pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Add bytes; returns the events that are whole now."""
+        """Add bytes and return the events that are complete now."""
         *parts, self.pending = _END.split(self.pending + data)
         blocks = zip(parts[::2], parts[1::2], strict=True)
-        return [_event(block, end) for block, end in blocks if block.strip()]
+        return [_parse_event(block, end) for block, end in blocks if block.strip()]
 
     @property
     def is_between_events(self) -> bool:
-        """Return whether no part of an event is left over."""
+        """Return whether no incomplete event is buffered."""
         return not self.pending.strip()
 
 
-def _event(block: bytes, end: bytes) -> Event:
+def _parse_event(block: bytes, end: bytes) -> Event:
     number = 0
     version = 0
     lines = []
--- a/src/threadramp/runner/hosting.py
+++ b/src/threadramp/runner/hosting.py
@@ -1,8 +1,9 @@
-"""Stands in for the sidecars of engines that have none: the runners that a gateway hosts.
+"""Runners that a gateway hosts for engines without a sidecar.
 
-A runner begins when a lot's gateway asks for one, or when this gateway sees itself that an engine
-of its own choice has no sidecar. It is the sidecar's own code; what differs is who may order: only
-the gateway that the engine falls to, once its sidecar is neither listed nor answers.
+A runner is created when a lot's gateway sends a request for it, or when this gateway detects that
+an engine assigned to it has no sidecar. It runs the sidecar's code; only the condition for taking
+the engine lock differs: the engine must be assigned to this gateway, and its sidecar must be
+neither listed nor answer.
 """
 
 from __future__ import annotations
@@ -33,28 +34,31 @@
     from threadramp.report.metrics import Metrics
     from threadramp.wire.fleet import AnyAsk, AnyReply, Fact
 
-LOOK_S = 0.5
-BARE_S = 2.0  # an engine without a sidecar is ordered only after this; a restart takes 1 to 1.5 s
-HEARD_S = 2.0  # a sidecar that answered this gateway within this time is there, listed or not
-IDLE_S = 10.0  # a runner that nobody asks for any more is given up after this
-ASK_TIMEOUT_S = 0.4
+CHECK_INTERVAL_S = 0.5
+# An engine gets orders from a gateway only after it has had no sidecar for this long; a restart of
+# a sidecar takes 1 to 1.5 s.
+NO_SIDECAR_S = 2.0
+# A sidecar that answered this gateway within this time counts as present, listed or not.
+REPLY_TTL_S = 2.0
+IDLE_TIMEOUT_S = 10.0  # after which a runner without requests is stopped
+PROBE_TIMEOUT_S = 0.4
 
 
 @dataclass
-class Hosted:
+class HostedRunner:
     """One runner that this gateway hosts.
 
-    :param asked_at: time at which it was last asked, or was last wanted by this gateway itself
+    :param last_used_at: time of the last request to it, or at which this gateway last needed it
     """
 
     runner: Sidecar
-    asked_at: float
+    last_used_at: float
 
 
 class HostedRunners:
-    """The runners that one gateway hosts; its methods may be called from any thread.
+    """The runners that one gateway hosts; the methods are thread-safe.
 
-    :param apart_s: two holders of the right to order may not order in turns within this time
+    :param apart_s: minimum time between orders of two holders of an engine lock
     """
 
     def __init__(
@@ -72,137 +76,139 @@
         self.metrics = metrics
         self.versions_apart = versions_apart
         self.apart_s = apart_s
-        self.hosted: dict[str, Hosted] = {}
-        self.covered_at: dict[str, float] = {}
+        self.hosted: dict[str, HostedRunner] = {}
+        self.last_covered_at: dict[str, float] = {}
         self.sidecars: dict[str, Member] = {}
-        self.knows_members_since = clock.now()
+        self.members_known_since = clock.now()
         self.leaving = False
         self.lock = threading.Lock()
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start looking for engines without a sidecar."""
+        """Start checking for engines without a sidecar."""
         start_loop(self._run, self.stopped)
 
     def handle(self, ask: AnyAsk) -> AnyReply:
-        """Answer what is asked of the runner of an engine; nothing is said of an unknown one."""
+        """Answer a request to the runner of an engine; ``Done`` if the engine is unknown."""
         endpoint = self.peers.picture.belief.at_address(ask.engine)
         if endpoint is None and ask.engine not in self.hosted:
             return Done()
-        return self._wanted(ask.engine, endpoint).runner.handle(ask)
+        return self._runner_of(ask.engine, endpoint).runner.handle(ask)
 
     def inspect(self, name: str) -> list[Fact]:
-        """Tell an operator of an engine that is hosted here, by its id or its address."""
+        """Return facts for an operator about an engine hosted here, by its id or its address."""
         hosted = [one.runner for one in list(self.hosted.values())]
         return [fact for runner in hosted for fact in RunnerInspector(runner).endpoint(name)]
 
     def leave(self) -> None:
-        """Give all samples back, so that they go on elsewhere."""
+        """Return all samples to their gateways, so that they are resumed elsewhere."""
         self.leaving = True
         for one in list(self.hosted.values()):
             one.runner.leave()
 
     def _run(self) -> None:
-        while not self.stopped.wait(LOOK_S):
-            self._look()
+        while not self.stopped.wait(CHECK_INTERVAL_S):
+            self._check_engines()
 
-    def _look(self) -> None:
-        """Host the engines that fall to this gateway, and give up what nobody wants."""
+    def _check_engines(self) -> None:
+        """Host the engines assigned to this gateway and stop runners that are no longer used."""
         belief = self.peers.picture.belief
-        self._note_covered(belief)
+        self._update_coverage(belief)
         for endpoint in engines(belief):
-            if self._falls_here(endpoint, belief):
-                self._wanted(endpoint.address, endpoint)
+            if self._should_host(endpoint, belief):
+                self._runner_of(endpoint.address, endpoint)
         for engine, one in list(self.hosted.items()):
-            if self.clock.now() - one.asked_at > IDLE_S:
-                self._give_up(engine)
+            if self.clock.now() - one.last_used_at > IDLE_TIMEOUT_S:
+                self._stop_runner(engine)
                 continue
-            one.runner.engine.learn(facts_for(one.runner.member, belief))
+            one.runner.engine.update_facts(facts_for(one.runner.member, belief))
 
-    def _note_covered(self, belief: Belief) -> None:
-        """Note which engines have a sidecar that is listed, or answered just now.
+    def _update_coverage(self, belief: Belief) -> None:
+        """Record which engines have a sidecar that is listed or has answered recently.
 
-        Without a list of members nothing says that a sidecar is not there.
+        Until the member list is loaded, no sidecar counts as missing.
         """
         now = self.clock.now()
         if not self.peers.picture.members.known:
-            self.knows_members_since = now
+            self.members_known_since = now
         for one in self.peers.sidecars():
             self.sidecars[one.endpoint] = one
-            heard = now - self.peers.heard.get(one.address, float("-inf")) < HEARD_S
-            if one.name in belief.members or heard:
-                self.covered_at[one.endpoint] = now
+            has_replied = now - self.peers.heard.get(one.address, float("-inf")) < REPLY_TTL_S
+            if one.name in belief.members or has_replied:
+                self.last_covered_at[one.endpoint] = now
         listed = belief.by_address
-        self.covered_at = {name: at for name, at in self.covered_at.items() if name in listed}
+        self.last_covered_at = {
+            name: at for name, at in self.last_covered_at.items() if name in listed
+        }
 
-    def _falls_here(self, endpoint: Endpoint, belief: Belief) -> bool:
-        """Return whether an engine has had no sidecar for a while and this gateway stands in."""
-        if self.leaving or self._bare_s(endpoint.address) < BARE_S:
+    def _should_host(self, endpoint: Endpoint, belief: Belief) -> bool:
+        """Return whether an engine without a sidecar is to be hosted by this gateway."""
+        if self.leaving or self._without_sidecar_s(endpoint.address) < NO_SIDECAR_S:
             return False
         host = host_of(endpoint.address, endpoint.data_centre, self.peers.live_gateways())
         return host is not None and host.name == self.peers.member.name
 
-    def _bare_s(self, engine: str) -> float:
-        """Return for how long no sidecar of an engine was listed or heard, as far as is known."""
-        return self.clock.now() - self.covered_at.get(engine, self.knows_members_since)
+    def _without_sidecar_s(self, engine: str) -> float:
+        """Return for how many seconds no sidecar of an engine was listed or has answered."""
+        return self.clock.now() - self.last_covered_at.get(engine, self.members_known_since)
 
-    def _wanted(self, engine: str, endpoint: Endpoint | None) -> Hosted:
-        """Return the runner of an engine, begun if there is none yet."""
+    def _runner_of(self, engine: str, endpoint: Endpoint | None) -> HostedRunner:
+        """Return the runner of an engine, started if there is none yet."""
         with self.lock:
             one = self.hosted.get(engine)
             if one is None:
-                one = Hosted(self._new_runner(engine, endpoint), self.clock.now())
+                one = HostedRunner(self._new_runner(engine, endpoint), self.clock.now())
                 self.hosted[engine] = one
                 log_state("engine_hosted", engine=engine, instance=endpoint.instance)
                 one.runner.start()
                 if self.leaving:
                     one.runner.leave()
-            one.asked_at = self.clock.now()
+            one.last_used_at = self.clock.now()
             return one
 
     def _new_runner(self, address: str, endpoint: Endpoint) -> Sidecar:
         member = hosted_member(self.peers.member, address)
         engine = Engine(address, endpoint.pool, self.peers.member.name, self.clock)
-        right = make_engine_lock(
+        lock = make_engine_lock(
             self.store,
             address,
             self.peers.member.name,
             self.apart_s,
             self.clock,
-            may_take=lambda: self._may_order(address),
+            may_take=lambda: self._may_take_lock(address),
         )
-        weights = WeightLoader(engine, self.clock, right, self.versions_apart)
+        weights = WeightLoader(engine, self.clock, lock, self.versions_apart)
         table = RunTable(self.clock.now)
         return Sidecar(member, engine, weights, table, self.peers.client, self.clock, self.metrics)
 
-    def _may_order(self, address: str) -> bool:
-        """Return whether an engine falls to this gateway and its sidecar does not even answer."""
+    def _may_take_lock(self, address: str) -> bool:
+        """Return whether an engine is assigned to this gateway and its sidecar does not answer."""
         belief = self.peers.picture.belief
         endpoint = belief.at_address(address)
-        if endpoint is None or not self._falls_here(endpoint, belief):
+        if endpoint is None or not self._should_host(endpoint, belief):
             return False
         sidecar = self.sidecars.get(address)
-        answers = sidecar is not None and self._answers(sidecar, belief)
+        answers = sidecar is not None and self._sidecar_answers(sidecar, belief)
         log_state(
-            "order_in_place",
+            "engine_takeover_check",
             engine=address,
             sidecar=sidecar.name if sidecar is not None else "",
-            bare_s=round(self._bare_s(address), 2),
+            without_sidecar_s=round(self._without_sidecar_s(address), 2),
             answers=answers,
         )
         return not answers
 
-    def _answers(self, sidecar: Member, belief: Belief) -> bool:
+    def _sidecar_answers(self, sidecar: Member, belief: Belief) -> bool:
         beat = Beat(*self.peers.myself, facts_for(sidecar, belief))
-        return self.peers.ask(sidecar.address, beat, ASK_TIMEOUT_S) is not None
+        return self.peers.ask(sidecar.address, beat, PROBE_TIMEOUT_S) is not None
 
-    def _give_up(self, engine: str) -> None:
-        """End a runner; what it still runs goes on elsewhere."""
+    def _stop_runner(self, engine: str) -> None:
+        """Stop a runner; its open samples are resumed elsewhere."""
         with self.lock:
             one = self.hosted.pop(engine)
         one.runner.leave()
         one.runner.stopped.set()
-        log_state("engine_given_up", engine=engine)
+        log_state("hosted_runner_stopped", engine=engine)
 
 
 __all__ = ["HostedRunners"]
--- a/src/threadramp/runner/inspector.py
+++ b/src/threadramp/runner/inspector.py
@@ -1,4 +1,4 @@
-"""What the runner of an engine tells an operator of it."""
+"""Facts about an engine and its runner, for an operator's ``Inspect`` request."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 
 
 class RunnerInspector:
-    """What the runner of an engine believes of it."""
+    """Reports what the runner of an engine currently knows about it."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar = sidecar
 
     def endpoint(self, name: str) -> Iterable[Fact]:
-        """Tell of the engine by its id or its address, nothing of another one."""
+        """Yield facts if ``name`` is the id or the address of the engine, else nothing."""
         engine = self.sidecar.engine
-        if name not in (engine.address, engine.start.instance):
+        if name not in (engine.address, engine.incarnation.instance):
             return
-        start = engine.start
-        yield Fact("engine", f"{start.instance}, born {start.born or 'not told'}", "both", None)
+        incarnation = engine.incarnation
+        yield Fact(
+            "engine", f"{incarnation.instance}, born {incarnation.born or 'not told'}", "both", None
+        )
         revision = engine.facts.endpoints_revision
         yield Fact("listed at revision", str(revision), "gateways", None)
         report = engine.report
-        told = "none" if report is None else f"{report.versions}, {report.orders} orders"
-        yield Fact("report", told, "the engine", None)
+        summary = "none" if report is None else f"{report.versions}, {report.orders} orders"
+        yield Fact("report", summary, "the engine", None)
         yield Fact(
             "taken", f"{self.sidecar.table.taken} of {self.sidecar.table.slots}", "own", None
         )
-        yield Fact("order number", str(self.sidecar.weights.right.number), "the store", None)
+        yield Fact("order number", str(self.sidecar.weights.lock.number), "the store", None)
 
 
 __all__ = ["RunnerInspector"]
--- a/src/threadramp/runner/run.py
+++ b/src/threadramp/runner/run.py
@@ -1,4 +1,4 @@
-"""One sample at a sidecar: what runs, what it serves and what is new about it."""
+"""The run of one sample at a sidecar: its state, which orders it can serve, and its updates."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 @dataclass
 class Run:
-    """One sample here.
-
-    :param base: events that the gateway had before this run began
-    :param lineage: names the chain of events: those before and those of this run
-    :param heard: time at which its gateway last asked for it
-    :param due: time at which its lot is due
-    :param wanted: false once its lot has ended; it may still finish for a later one
-    :param started: whether it was handed to a thread
+    """The run of one sample at this sidecar.
+
+    :param base: number of events that the gateway had before this run began
+    :param lineage: names the chain of events: those before this run and its own
+    :param last_polled_at: time at which its gateway last asked for updates of it
+    :param due_at: time at which its lot is due
+    :param wanted: false once its lot has ended; the run may still finish for a later lot
+    :param started: whether it was passed to a thread
     :param cancel: closes its connection to the engine
-    :param not_before: it is not started again before this time
-    :param rejections: times in a row that the engine did not begin it
-    :param sign_at: time at which it was started or brought its last event
-    :param life: counts its starts, so that a thread of an earlier one changes nothing
-    :param start: of the engine that it was sent to last
+    :param not_before: time before which it is not started again
+    :param rejections: number of times in a row that the engine did not begin it
+    :param last_progress_at: time at which it was started or its last event arrived
+    :param generation: incremented at each start, so that a thread of an earlier start has no effect
+    :param incarnation: incarnation of the engine to which it was last sent
     """
 
     order: RunOrder
     base: int
     lineage: str
-    heard: float
-    due: float
+    last_polled_at: float
+    due_at: float
     events: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
     wanted: bool = True
@@ -47,32 +47,33 @@
     cancel: Callable[[], None] | None = None
     not_before: float = 0.0
     rejections: int = 0
-    sign_at: float = 0.0
-    life: int = 0
-    start: Start = Start("")
+    last_progress_at: float = 0.0
+    generation: int = 0
+    incarnation: Start = Start("")
 
     @property
     def is_open(self) -> bool:
-        """Return whether it runs or waits."""
+        """Return whether it is running or waiting."""
         return self.outcome is RunOutcome.NONE
 
-    def may_start(self, now: float) -> bool:
-        """Return whether it waits for a start."""
+    def is_startable(self, now: float) -> bool:
+        """Return whether it is waiting and may be started now."""
         return self.is_open and not self.started and self.not_before <= now
 
     @property
-    def count(self) -> int:
-        """Return the events so far, those before this run included."""
+    def event_count(self) -> int:
+        """Return the number of events so far, including those before this run."""
         return self.base + len(self.events)
 
-    def serves(self, order: RunOrder) -> bool:
-        """Return whether its text can go on as what ``order`` asks for.
+    def can_serve(self, order: RunOrder) -> bool:
+        """Return whether this run's text can be used or resumed for an order.
 
-        Text belongs to a request, which an id alone does not tell: a caller may use one again.
+        The requests are compared as well as the ids, since a caller may reuse an id for another
+        request.
         """
-        if _asked(self.order) != _asked(order):
+        if _request_key(self.order) != _request_key(order):
             return False
-        if order.after and (order.lineage != self.lineage or self.count < order.after):
+        if order.after and (order.lineage != self.lineage or self.event_count < order.after):
             return False
         if self.base > order.after:
             return False
@@ -80,8 +81,8 @@
             return False
         return not (order.one_version and len(set(self.versions)) > 1)
 
-    def news(self, count: int) -> RunUpdate:
-        """Return what is new to an asker that has ``count`` events."""
+    def update_since(self, count: int) -> RunUpdate:
+        """Return the update for a gateway that already has ``count`` events."""
         skip = count - self.base
         return RunUpdate(
             sample=self.order.sample.id,
@@ -90,12 +91,12 @@
             versions=tuple(self.versions[skip:]),
             lineage=self.lineage,
             outcome=self.outcome.value,
-            start=self.start,
+            start=self.incarnation,
         )
 
 
-def _asked(order: RunOrder) -> tuple[str, str, bytes]:
-    """Return what makes the text of an order's sample: model, path and body."""
+def _request_key(order: RunOrder) -> tuple[str, str, bytes]:
+    """Return what the text of an order's sample depends on: model, path and body."""
     return order.model, order.sample.path, order.sample.body
 
 
--- a/src/threadramp/runner/runs.py
+++ b/src/threadramp/runner/runs.py
@@ -1,4 +1,4 @@
-"""The samples of one sidecar: those that run, those that wait, and text that is kept."""
+"""The sample runs of one sidecar: running and waiting ones, and ended ones whose text is kept."""
 
 from __future__ import annotations
 
@@ -14,102 +14,109 @@
 
     from threadramp.wire.runner import RunOrder, RunUpdate
 
-QUEUE = 2  # samples that may wait beyond the slots, so that a slot is not idle for a round trip
-SILENCE_S = 1.0  # a gateway that asks for nothing for so long may have sent its samples elsewhere
-QUIET_S = 0.4  # an event takes 0.04 s, at an engine that is slowed 4 times 0.16
-REJECTED_S = 0.05  # before a sample that the engine did not begin is tried again; doubles
-REJECTED_MOST_S = 0.8
-KEPT_RUNS = 400  # samples that ended whose text is kept
-KEPT_S = 45.0  # samples come back in one of the next lots, a lot each 4 s
-GATHER_S = 0.03  # other samples that end just then go with the same answer
-BROKEN_OFF = (RunOutcome.CUT, RunOutcome.FAILED, RunOutcome.CRASHED)  # it may be begun again here
-LOOK_S = 0.1  # how often a waiting answer looks whether the engine's readiness has changed
+MAX_QUEUED = 2  # samples that may wait beyond the slots, so that no slot idles for a round trip
+# A gateway that has not polled for this long may have sent its samples to another sidecar.
+GATEWAY_TIMEOUT_S = 1.0
+# A run without an event for this long counts as stalled; an event takes 0.04 s, and 0.16 s at an
+# engine that is slowed down 4 times.
+STALL_TIMEOUT_S = 0.4
+# Delay before a sample that the engine did not begin is retried; doubles with each rejection.
+REJECTED_RETRY_S = 0.05
+MAX_REJECTED_RETRY_S = 0.8
+MAX_ENDED_RUNS = 400  # ended runs whose text is kept
+ENDED_RUN_TTL_S = 45.0  # a sample may come back in one of the next lots; there is a lot every 4 s
+BATCH_DELAY_S = 0.03  # other samples that end within this time are sent with the same reply
+RESTARTABLE_OUTCOMES = (RunOutcome.CUT, RunOutcome.FAILED, RunOutcome.CRASHED)
+READINESS_POLL_S = 0.1  # interval at which a waiting reply checks the engine's readiness
 
 
 class RunTable:
-    """All samples of a sidecar; its methods may be called from any thread."""
+    """All sample runs of a sidecar; the methods are thread-safe."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self.runs: dict[str, Run] = {}
         self.slots = 0
         self.accepting = False
-        self.loading = ""
+        self.loading_model = ""
         self.changed = threading.Condition(threading.RLock())
 
     @property
     def taken(self) -> int:
-        """Return the wanted samples that run or wait."""
+        """Return the number of wanted samples that are running or waiting."""
         with self.changed:
             return sum(run.is_open and run.wanted for run in self.runs.values())
 
     def submit(self, orders: tuple[RunOrder, ...]) -> dict[str, str]:
-        """Take samples while there is room; returns the chain of events of each that was taken."""
+        """Accept samples while there is room.
+
+        :returns: the lineage of each accepted sample
+        """
         taken = {}
         with self.changed:
             for order in orders:
                 if self._submit_one(order):
                     taken[order.sample.id] = self.runs[order.sample.id].lineage
-            self._forget_old()
+            self._evict_ended()
             self.changed.notify_all()
         return taken
 
     def next_start(self) -> Run | None:
-        """Return the waiting sample that goes first if a slot is free, marked as started."""
+        """Return the waiting run that starts next, marked as started, none if none can start."""
         with self.changed:
             if not self.accepting:
                 return None
             running = [run for run in self.runs.values() if run.is_open and run.started]
             now = self.now()
-            waiting = [run for run in self.runs.values() if self._may_start(run, now)]
+            waiting = [run for run in self.runs.values() if self._is_startable(run, now)]
             if not waiting:
                 return None
             if len(running) >= self.slots and not self._make_room(running):
                 return None
-            chosen = min(waiting, key=lambda run: (run.due, -run.order.sample.expected_tokens))
+            chosen = min(waiting, key=lambda run: (run.due_at, -run.order.sample.expected_tokens))
             chosen.started = True
-            chosen.sign_at = now
-            chosen.life += 1
+            chosen.last_progress_at = now
+            chosen.generation += 1
             return chosen
 
-    def add_event(self, run: Run, life: int, text: str, version: int) -> bool:
-        """Add an event of a run; false if the run is over by now."""
+    def add_event(self, run: Run, generation: int, text: str, version: int) -> bool:
+        """Add an event to a run; false if the run has ended or was restarted."""
         with self.changed:
-            if run.life != life or not run.is_open:
+            if run.generation != generation or not run.is_open:
                 return False
             run.rejections = 0
-            run.sign_at = self.now()
+            run.last_progress_at = self.now()
             run.events.append(text)
             run.versions.append(version)
             return True
 
-    def finish(self, run: Run, life: int, outcome: RunOutcome) -> bool:
-        """Note how a run ended; false if it was over already."""
+    def finish(self, run: Run, generation: int, outcome: RunOutcome) -> bool:
+        """End a run with an outcome; false if it has already ended or was restarted."""
         with self.changed:
-            if run.life != life or not run.is_open:
+            if run.generation != generation or not run.is_open:
                 return False
             self._end(run, outcome)
             return True
 
-    def put_back(self, run: Run, life: int) -> None:
-        """Let a sample wait again that the engine did not begin, unless its lot has ended.
+    def requeue(self, run: Run, generation: int) -> None:
+        """Return a sample that the engine did not begin to the queue, unless its lot has ended.
 
-        It may have been dropped while it was on its way to the engine; it never began, so nobody
-        would let it finish.
+        The sample may have been dropped while it was being sent to the engine. It never began, so
+        there is nothing to let finish, and it is cut.
         """
         with self.changed:
-            if run.life == life and run.is_open and not run.wanted:
+            if run.generation == generation and run.is_open and not run.wanted:
                 self._end(run, RunOutcome.CUT)
-            elif run.life == life and run.is_open:
+            elif run.generation == generation and run.is_open:
                 run.started = False
                 run.cancel = None
-                pause = min(REJECTED_MOST_S, REJECTED_S * 2**run.rejections)
+                pause = min(MAX_REJECTED_RETRY_S, REJECTED_RETRY_S * 2**run.rejections)
                 run.not_before = self.now() + pause
                 run.rejections += 1
                 self.changed.notify_all()
 
     def drop(self, samples: dict[str, int], let_finish: bool) -> None:
-        """Take back samples; those that run may finish if ``let_finish``."""
+        """Cancel samples; those that are running may finish if ``let_finish``."""
         cancels = []
         with self.changed:
             for name in samples:
@@ -120,55 +127,61 @@
                     run.wanted = False
                     continue
                 cancels.append(self._cut(run))
-        _call(cancels)
+        _call_all(cancels)
 
     def cut_all(self) -> None:
-        """End all runs; their text stays."""
+        """Cut all open runs; their text is kept."""
         with self.changed:
             cancels = [self._cut(run) for run in self.runs.values() if run.is_open]
-        _call(cancels)
+        _call_all(cancels)
 
-    def cut_silent(self) -> list[str]:
-        """End the runs whose gateway asks for nothing any more."""
-        limit = self.now() - SILENCE_S
+    def cut_abandoned(self) -> list[str]:
+        """Cut the runs whose gateway has stopped polling; returns their samples."""
+        limit = self.now() - GATEWAY_TIMEOUT_S
         cancels = []
         names = []
         with self.changed:
             for name, run in self.runs.items():
-                if run.is_open and run.wanted and run.heard < limit:
+                if run.is_open and run.wanted and run.last_polled_at < limit:
                     cancels.append(self._cut(run))
                     names.append(name)
-        _call(cancels)
+        _call_all(cancels)
         return names
 
-    def begin_anew(self) -> list[str]:
-        """Let runs that bring nothing go on behind their last event on connections of their own.
+    def restart_stalled(self) -> list[str]:
+        """Restart runs without progress after their last event, on new connections.
+
+        Called when open connections are known to pass nothing. The runs stay at this sidecar: an
+        engine that is not notified that a connection was closed goes on with the sample, and no
+        other engine may run it at the same time. A run whose lot has ended was only allowed to
+        finish, so it is cut.
 
-        For when open connections are known to pass nothing. They stay here: an engine that cannot
-        hear that a connection was closed works on, and no other one may work beside it. One whose
-        lot has ended was only to finish; it ends.
+        :returns: the samples of the restarted or cut runs
         """
-        limit = self.now() - QUIET_S
+        limit = self.now() - STALL_TIMEOUT_S
         with self.changed:
-            quiet = [
+            stalled = [
                 run
                 for run in self.runs.values()
-                if run.is_open and run.started and run.sign_at < limit
+                if run.is_open and run.started and run.last_progress_at < limit
             ]
-            cancels = [run.cancel for run in quiet]
-            for run in quiet:
+            cancels = [run.cancel for run in stalled]
+            for run in stalled:
                 if not run.wanted:
                     self._end(run, RunOutcome.CUT)
                     continue
                 run.started = False
                 run.cancel = None
-                run.life += 1  # what the thread of before still brings counts no more
+                run.generation += 1  # events of the previous thread are ignored
             self.changed.notify_all()
-        _call(cancels)
-        return [run.order.sample.id for run in quiet]
+        _call_all(cancels)
+        return [run.order.sample.id for run in stalled]
 
     def find(self, samples: tuple[str, ...], min_version: int) -> dict[str, int]:
-        """Return those of the samples that have text from the start that is fresh enough."""
+        """Return the number of events of samples whose text is here from its beginning.
+
+        :param min_version: samples with an event of an older weight version are left out
+        """
         found = {}
         with self.changed:
             for name in samples:
@@ -181,24 +194,25 @@
     def collect(
         self, have: dict[str, int], wait_s: float, readiness: Callable[[], tuple[bool, str]]
     ) -> tuple[list[RunUpdate], list[str]]:
-        """Return news and unknown samples; waits until a sample ends or the time is over.
+        """Wait until a sample ends or the time is over; return updates and unknown samples.
 
-        :param readiness: returns whether the engine takes samples, and the model that changes; as
-            soon as it returns something else that is news, too
+        :param have: number of events that the gateway has, by sample
+        :param readiness: returns whether the engine accepts samples, and the model whose weights
+            are being loaded; a change of its result ends the wait as well
         """
         until = self.now() + wait_s
         before = readiness()
         with self.changed:
-            self._touch(have)
-            while not self._has_ended(have) and readiness() == before:
-                left = until - self.now()
-                if left <= 0:
+            self._record_poll(have)
+            while not self._any_ended(have) and readiness() == before:
+                remaining_s = until - self.now()
+                if remaining_s <= 0:
                     break
-                self.changed.wait(min(left, LOOK_S))
+                self.changed.wait(min(remaining_s, READINESS_POLL_S))
             else:
                 if wait_s:
-                    self.changed.wait(GATHER_S)
-            self._touch(have)
+                    self.changed.wait(BATCH_DELAY_S)
+            self._record_poll(have)
             return self._updates(have)
 
     def _updates(self, have: dict[str, int]) -> tuple[list[RunUpdate], list[str]]:
@@ -206,74 +220,74 @@
         unknown = []
         for name, count in have.items():
             run = self.runs.get(name)
-            if run is None or run.base > count or run.count < count:
+            if run is None or run.base > count or run.event_count < count:
                 unknown.append(name)
-            elif run.count > count or not run.is_open:
-                updates.append(run.news(count))
+            elif run.event_count > count or not run.is_open:
+                updates.append(run.update_since(count))
         return updates, unknown
 
-    def _touch(self, have: dict[str, int]) -> None:
+    def _record_poll(self, have: dict[str, int]) -> None:
         now = self.now()
         for name in have:
             run = self.runs.get(name)
             if run is not None:
-                run.heard = now
+                run.last_polled_at = now
 
-    def _has_ended(self, have: dict[str, int]) -> bool:
+    def _any_ended(self, have: dict[str, int]) -> bool:
         for name, count in have.items():
             run = self.runs.get(name)
             if run is None or not run.is_open or run.base > count:
                 return True
         return False
 
-    def _may_start(self, run: Run, now: float) -> bool:
-        """Return whether a run waits for a start that the engine would not reject."""
-        return run.may_start(now) and not is_changing(self.loading, run.order.model)
+    def _is_startable(self, run: Run, now: float) -> bool:
+        """Return whether a run may be started and the engine would not reject it."""
+        return run.is_startable(now) and not is_changing(self.loading_model, run.order.model)
 
     def _submit_one(self, order: RunOrder) -> bool:
         name = order.sample.id
         run = self.runs.get(name)
-        if run is not None and run.serves(order):
-            return self._go_on(run, order)
+        if run is not None and run.can_serve(order):
+            return self._resume(run, order)
         if not self._has_room(order):
             return False
         if run is not None and run.is_open:
-            _call([self._cut(run)])
+            _call_all([self._cut(run)])
         self.runs.pop(name, None)
         now = self.now()
         self.runs[name] = Run(order, order.after, order.new_lineage, now, now + order.due)
         return True
 
-    def _go_on(self, run: Run, order: RunOrder) -> bool:
-        """Let a run that is here serve an order."""
-        needs_start = run.outcome in BROKEN_OFF
+    def _resume(self, run: Run, order: RunOrder) -> bool:
+        """Let an existing run serve an order, restarting it if it was interrupted."""
+        needs_start = run.outcome in RESTARTABLE_OUTCOMES
         if needs_start and not self._has_room(order):
             return False
         run.order = order
         run.wanted = True
-        run.heard = self.now()
-        run.due = run.heard + order.due
+        run.last_polled_at = self.now()
+        run.due_at = run.last_polled_at + order.due
         if needs_start:
             run.outcome = RunOutcome.NONE
             run.started = False
             run.cancel = None
-            run.life += 1  # its thread of before may still come to the end that the cut made
+            run.generation += 1  # the previous thread may yet report the end caused by the cut
         return True
 
     def _has_room(self, order: RunOrder) -> bool:
-        able = self.accepting and not is_changing(self.loading, order.model)
-        return able and self.taken < self.slots + QUEUE
+        accepts = self.accepting and not is_changing(self.loading_model, order.model)
+        return accepts and self.taken < self.slots + MAX_QUEUED
 
     def _make_room(self, running: list[Run]) -> bool:
-        """End a run that only later lots may want, for one that is wanted now."""
+        """Cut a run that only later lots may want, in favour of one that is wanted now."""
         for run in running:
             if not run.wanted:
-                _call([self._cut(run)])
+                _call_all([self._cut(run)])
                 return True
         return False
 
     def _cut(self, run: Run) -> Callable[[], None] | None:
-        """End a run; returns what closes its connection, for the caller to call."""
+        """Cut a run; returns the function that closes its connection, for the caller to call."""
         cancel = run.cancel
         self._end(run, RunOutcome.CUT)
         return cancel
@@ -284,20 +298,20 @@
         run.cancel = None
         self.changed.notify_all()
 
-    def _forget_old(self) -> None:
-        limit = self.now() - KEPT_S
+    def _evict_ended(self) -> None:
+        limit = self.now() - ENDED_RUN_TTL_S
         ended = [name for name, run in self.runs.items() if not run.is_open]
-        surplus = max(0, len(ended) - KEPT_RUNS)
-        for place, name in enumerate(ended):
-            if place < surplus or self.runs[name].ended_at < limit:
+        surplus = max(0, len(ended) - MAX_ENDED_RUNS)
+        for index, name in enumerate(ended):
+            if index < surplus or self.runs[name].ended_at < limit:
                 del self.runs[name]
 
 
-def _call(cancels: list[Callable[[], None] | None]) -> None:
-    """Close the connections of runs that were cut."""
+def _call_all(cancels: list[Callable[[], None] | None]) -> None:
+    """Call the functions that close the connections of runs."""
     for cancel in cancels:
         if cancel is not None:
             cancel()
 
 
-__all__ = ["QUIET_S", "SILENCE_S", "RunTable"]
+__all__ = ["STALL_TIMEOUT_S", "GATEWAY_TIMEOUT_S", "RunTable"]
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -1,4 +1,4 @@
-"""Runs one sample at the engine and takes its events."""
+"""Runs one sample at the engine and reads its event stream."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     from threadramp.runner.run import Run
     from threadramp.runner.runs import RunTable
 
-CONNECT_S = 0.5
-# The head comes with the first token, and an engine is given no more samples than it has slots:
-# 1,599 of 1,599 came within 0.3 s on a day of high load.
-HEAD_S = 0.3
-SILENT_S = 5.0  # a stream that brings nothing for so long is cut; a load of weights takes 0.9 s
+CONNECT_TIMEOUT_S = 0.5
+# The response head arrives with the first token, and an engine gets no more samples than it has
+# slots: 1,599 of 1,599 heads arrived within 0.3 s on a day of high load.
+HEAD_TIMEOUT_S = 0.3
+STREAM_IDLE_TIMEOUT_S = 5.0  # an idle stream is cut after this; a load of weights takes 0.9 s
 
 
 class SampleRun:
@@ -40,177 +40,177 @@
         self, engine: Engine, table: RunTable, run: Run, clock: Clock, metrics: Metrics
     ) -> None:
         self.metrics = metrics
-        self.started = clock.now()
-        self.sent_at = self.started
+        self.started_at = clock.now()
+        self.sent_at = self.started_at
         self.engine = engine
         self.table = table
         self.run = run
-        self.life = run.life
+        self.generation = run.generation
         self.clock = clock
-        self.start = engine.start
+        self.incarnation = engine.incarnation
         self.version = 0
-        self.last_event = 0.0
+        self.last_event_at = 0.0
 
     def execute(self) -> None:
-        """Run it to its end, or put it back if the engine did not begin with it."""
+        """Run the sample to its end, or requeue it if the engine did not begin it."""
         try:
-            self._execute_once_more_if_stale()
+            self._execute_with_retry()
         except ExchangeError as error:
-            self._finish(self._outcome_of_end(error.broken), str(error))
-        except Exception as error:  # the sample would hang for ever else
+            self._finish(self._outcome_of_break(error.broken), str(error))
+        except Exception as error:  # otherwise the sample would never end
             self._finish(RunOutcome.CUT, repr(error))
 
-    def _execute_once_more_if_stale(self) -> None:
-        """Run it, again at once where a kept connection had been dropped or passes nothing."""
+    def _execute_with_retry(self) -> None:
+        """Run the sample; retry at once if a reused connection was closed or passes nothing."""
         try:
             self._execute()
         except ExchangeError as error:
             if not (error.stale or error.silent) or self._is_over():
                 raise
-            if self._outcome_of_end(error.broken) is RunOutcome.CRASHED:
-                raise  # the next start is not for it to end as well
+            if self._outcome_of_break(error.broken) is RunOutcome.CRASHED:
+                raise  # a retry could crash the next incarnation as well
             log_state("connection_stale", sample=self.run.order.sample.id, error=str(error))
-            self.engine.forget_connections()  # the others were dropped by then as well
+            self.engine.close_idle_connections()  # the others are closed by now as well
             self._execute()
 
     def _is_over(self) -> bool:
-        """Return whether the run was ended, or begun anew, by others."""
+        """Return whether another thread has ended or restarted the run."""
         with self.table.changed:
-            return self.run.life != self.life or not self.run.is_open
+            return self.run.generation != self.generation or not self.run.is_open
 
     def _execute(self) -> None:
         endpoint = self.engine.endpoint()
-        ident = given_name(self.run.order.sample.id)
+        request_id = given_name(self.run.order.sample.id)
         now = self.clock.now()
-        exchange = self.engine.connections.open(endpoint, now, CONNECT_S, ident=ident)
-        if not self._register(exchange):
+        exchange = self.engine.connections.open(endpoint, now, CONNECT_TIMEOUT_S, ident=request_id)
+        if not self._register_cancel(exchange):
             exchange.close()
             return
         self._send(exchange)
-        response = exchange.own_response(HEAD_S)
+        response = exchange.own_response(HEAD_TIMEOUT_S)
         if exchange.duplicates:
             self.metrics.count("answer_not_own", "named")
         head = read_answer(response.status, response.headers)
-        if not exchange.is_own(head):  # a second answer of a sample before it, or nobody's
+        if not exchange.is_own(head):  # duplicate response to an earlier sample, or unknown
             exchange.close()
             self.metrics.count("answer_not_own", "named" if head.request_id else "unnamed")
-            self._finish(RunOutcome.CUT, f"the answer to {head.request_id or 'nobody knows what'}")
+            self._finish(RunOutcome.CUT, f"response to {head.request_id or 'an unnamed request'}")
             return
         if head.not_run:
             exchange.close()
-            self._not_begun(head.status)
+            self._handle_not_begun(head.status)
             return
         if head.status != 200:
             exchange.close()
-            self._finish(_outcome_of(head.status), f"status {head.status}")
+            self._finish(_outcome_of_status(head.status), f"status {head.status}")
             return
         self.version = head.version
-        self._take_stream(exchange, response)
+        self._read_stream(exchange, response)
 
     def _send(self, exchange: Exchange) -> None:
-        """Send the sample, to go on behind the events that are here."""
+        """Send the sample, to be resumed after the events that are already here."""
         order = self.run.order
         headers = sample_headers(
             (*order.sample.headers, ("Host", order.host)),
             given_name(order.sample.id),
             max(1.0, order.give_up_in_s),
-            self.start.instance,
-            self.run.count,
+            self.incarnation.instance,
+            self.run.event_count,
             order.rank,
             order.organisation,
         )
         self.sent_at = self.clock.now()
         exchange.send("POST", order.sample.path, headers, order.sample.body)
 
-    def _not_begun(self, status: int) -> None:
-        """Put the sample back; another start of the engine is not asked again as this one."""
+    def _handle_not_begun(self, status: int) -> None:
+        """Requeue the sample; if the engine was replaced, mark this incarnation as superseded."""
         if status == OTHER_INSTANCE_STATUS:
-            self.engine.is_another(self.start)
-        self.table.put_back(self.run, self.life)
+            self.engine.mark_superseded(self.incarnation)
+        self.table.requeue(self.run, self.generation)
         self.metrics.count("sample_not_begun", str(status))
         log_state(
             "sample_not_begun",
             sample=self.run.order.sample.id,
-            instance=self.start.instance,
+            instance=self.incarnation.instance,
             status=status,
             rejections=self.run.rejections,
         )
 
-    def _register(self, exchange: Exchange) -> bool:
-        """Let others close the connection; false if the run is over already."""
-        stream = exchange.connection.sock
+    def _register_cancel(self, exchange: Exchange) -> bool:
+        """Register a function that closes the connection; false if the run is already over."""
+        sock = exchange.connection.sock
 
         def cancel() -> None:
             try:
-                stream.shutdown(socket.SHUT_RDWR)
-            except OSError:  # it is closed already
+                sock.shutdown(socket.SHUT_RDWR)
+            except OSError:  # already closed
                 return
 
         with self.table.changed:
             if self._is_over():
                 return False
             self.run.cancel = cancel
-            self.run.start = self.start
+            self.run.incarnation = self.incarnation
             return True
 
-    def _take_stream(self, exchange: Exchange, response: BaseHTTPResponse) -> None:
+    def _read_stream(self, exchange: Exchange, response: BaseHTTPResponse) -> None:
         reader = EventReader()
-        exchange.connection.sock.settimeout(SILENT_S)
-        self.last_event = self.clock.now()
+        exchange.connection.sock.settimeout(STREAM_IDLE_TIMEOUT_S)
+        self.last_event_at = self.clock.now()
         try:
             for data in body_pieces(response):
                 for event in reader.feed(data):
-                    if not self._take_event(event):
+                    if not self._add_event(event):
                         exchange.close()
                         return
         except (OSError, HTTPError, ValueError, AttributeError) as error:
             exchange.close()
-            self._finish(self._outcome_of_end(is_broken(error)), repr(error))
+            self._finish(self._outcome_of_break(is_broken(error)), repr(error))
             return
         if not reader.is_between_events:
             exchange.close()
-            self._finish(self._outcome_of_end(True), "it stopped within an event")
+            self._finish(self._outcome_of_break(True), "the stream ended within an event")
             return
-        self.engine.keep(exchange, streamed_answer(response))
+        self.engine.release_connection(exchange, streamed_answer(response))
         self._finish(RunOutcome.WHOLE, "")
 
-    def _take_event(self, event: Event) -> bool:
-        """Add one event; false if the run ends here."""
+    def _add_event(self, event: Event) -> bool:
+        """Add one event to the run; false if the run is over."""
         now = self.clock.now()
-        self.engine.add_gap(now - self.last_event)
-        self.last_event = now
+        self.engine.add_event_gap(now - self.last_event_at)
+        self.last_event_at = now
         self.version = event.version or self.version
-        if event.number != self.run.count + 1:
-            self._finish(RunOutcome.CUT, f"event {event.number} after {self.run.count}")
+        if event.number != self.run.event_count + 1:
+            self._finish(RunOutcome.CUT, f"event {event.number} after {self.run.event_count}")
             return False
-        return self.table.add_event(self.run, self.life, event.text, self.version)
+        return self.table.add_event(self.run, self.generation, event.text, self.version)
 
-    def _outcome_of_end(self, broken: bool) -> RunOutcome:
-        """Return how a run ended that brought no whole text.
+    def _outcome_of_break(self, broken: bool) -> RunOutcome:
+        """Return the outcome of a run whose text is incomplete.
 
         :param broken: whether the engine broke the connection
         """
         if not broken or self.engine.is_leaving:
             return RunOutcome.CUT
-        ended = has_crashed(self.engine.address, self.clock.now() - self.sent_at)
-        return RunOutcome.CRASHED if ended else RunOutcome.CUT
+        crashed = has_crashed(self.engine.address, self.clock.now() - self.sent_at)
+        return RunOutcome.CRASHED if crashed else RunOutcome.CUT
 
     def _finish(self, outcome: RunOutcome, reason: str) -> None:
-        if not self.table.finish(self.run, self.life, outcome):
+        if not self.table.finish(self.run, self.generation, outcome):
             return
         self.metrics.count("sample_ended", outcome.value)
-        self.metrics.latency("sample", self.clock.now() - self.started)
+        self.metrics.latency("sample", self.clock.now() - self.started_at)
         log_state(
             "sample_ended",
             sample=self.run.order.sample.id,
             outcome=outcome.value,
-            events=self.run.count,
-            instance=self.start.instance,
+            events=self.run.event_count,
+            instance=self.incarnation.instance,
             reason=reason,
         )
 
 
-def _outcome_of(status: int) -> RunOutcome:
+def _outcome_of_status(status: int) -> RunOutcome:
     if status == 500:
         return RunOutcome.FAILED
     return RunOutcome.IMPOSSIBLE if status == 422 else RunOutcome.CUT
--- a/src/threadramp/runner/sidecar.py
+++ b/src/threadramp/runner/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar of an engine: answers gateways, runs samples, keeps the weights as named."""
+"""The sidecar of an engine: answers gateways, runs samples and loads published weights."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from threadramp.fleet.relaying import relay_through
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
-from threadramp.runner.runs import QUIET_S
+from threadramp.runner.runs import STALL_TIMEOUT_S
 from threadramp.runner.sample_run import SampleRun
 from threadramp.wire.fleet import (
     Accepted,
@@ -45,14 +45,15 @@
     from threadramp.wire.fleet import AnyReply
     from threadramp.wire.sync import SyncClient
 
-REPORT_S = 0.2  # the engine's report is free from its own box
-FAR_REPORT_S = 0.5  # elsewhere it is priced as a probe, and some hundred ms old
-WATCH_S = 0.2
-UNHEARD_S = 3.0  # gateways beat twice a second to a sidecar that is listed
+REPORT_INTERVAL_S = 0.2  # the engine's report is free of charge from its own box
+# From another box a report is priced as a probe, and it is some hundred ms old.
+REMOTE_REPORT_INTERVAL_S = 0.5
+POLL_INTERVAL_S = 0.2
+RELIST_AFTER_S = 3.0  # gateways send two heartbeats a second to a sidecar that is listed
 
 
 class Sidecar:
-    """All that a sidecar does, around its table of samples and its engine."""
+    """A sidecar: its loops and its replies to gateways, around its run table and its engine."""
 
     def __init__(
         self,
@@ -71,53 +72,54 @@
         self.client = client
         self.clock = clock
         self.metrics = metrics
-        self.gateways: dict[str, float] = {}
+        self.last_request_at: dict[str, float] = {}  # by the address of the gateway
         self.stopped = threading.Event()
         self.leaving = False
         self.sidecar_count = 0
-        self.listed_again = clock.now()
+        self.relisted_at = clock.now()
         self.on_unlisted: Callable[[], None] = lambda: None
         self.store_relay: StoreCalls | None = None
         self.beliefs: Beliefs | None = None
-        self.anew_at: float | None = None
-        engine.count_with(metrics.count)
-        engine.on_silence = self._connections_are_suspect
-        engine.on_start = self._connections_are_suspect  # what runs was sent to the start before
+        self.stall_check_at: float | None = None
+        engine.set_counter(metrics.count)
+        engine.on_suspect_connections = self._schedule_stall_check
+        # Open runs were sent to the previous incarnation.
+        engine.on_new_incarnation = self._schedule_stall_check
 
     def start(self) -> None:
         """Start all loops."""
         start_loop(self._engine_loop, self.stopped)
         start_loop(self._start_loop, self.stopped)
-        start_loop(self._silence_loop, self.stopped)
+        start_loop(self._gateway_check_loop, self.stopped)
 
     def handle(self, ask: AnyAsk) -> AnyReply:
-        """Answer a gateway."""
+        """Answer a request of a gateway."""
         if isinstance(ask, Ask) and not isinstance(ask, Inspect):
-            self.gateways[ask.address] = self.clock.now()
+            self.last_request_at[ask.address] = self.clock.now()
         if isinstance(ask, (Beat, Submit, Collect)):
-            self.engine.learn(ask.facts)
+            self.engine.update_facts(ask.facts)
             self.sidecar_count = ask.facts.sidecars
             self._refresh_table()
             if not ask.facts.listed:
                 self.on_unlisted()
         if isinstance(ask, HurryLoad):
-            self.weights.hurry(ask.model)
+            self.weights.request_urgent_load(ask.model)
         return self._answer(ask)
 
     def relay(self, call: Call) -> RawAnswer | None:
-        """Pass a call to the store through a gateway that was heard lately."""
-        recent = sorted(self.gateways, key=lambda address: -self.gateways[address])
+        """Relay a store call through the gateways, the one with the latest request first."""
+        recent = sorted(self.last_request_at, key=lambda address: -self.last_request_at[address])
         ask = CallStore(self.member.name, self.member.address, call)
         return relay_through(recent, ask, self.client.ask)
 
     def leave(self) -> None:
-        """Take nothing new and end what runs, so that it goes on elsewhere."""
+        """Accept no more samples and cut the open runs, so that they are resumed elsewhere."""
         self.leaving = True
         self._refresh_table()
         self.table.cut_all()
 
     def status(self) -> RunnerStatus:
-        """Return what gateways need to know."""
+        """Return the status that is sent to gateways."""
         report = self.engine.report
         return RunnerStatus(
             incarnation=self.member.incarnation,
@@ -126,14 +128,14 @@
             slots=self.table.slots,
             taken=self.table.taken,
             versions=report.versions if report is not None else {},
-            gap_ms=round(self.engine.gap_ms(), 1),
-            loading=self.engine.loading,
+            gap_ms=round(self.engine.median_gap_ms(), 1),
+            loading=self.engine.loading_model,
         )
 
     def _answer(self, ask: AnyAsk) -> AnyReply:
         if isinstance(ask, Submit):
-            taken = self.table.submit(ask.orders)
-            return Accepted(self.status(), taken)
+            accepted = self.table.submit(ask.orders)
+            return Accepted(self.status(), accepted)
         if isinstance(ask, Collect):
             updates, unknown = self.table.collect(ask.have, ask.wait_s, self._readiness)
             return Updates(self.status(), tuple(updates), tuple(unknown))
@@ -153,78 +155,79 @@
         return self.engine.is_ready and not self.leaving
 
     def _readiness(self) -> tuple[bool, str]:
-        """Return what gateways want to know of as soon as it changes."""
-        return (self._is_ready(), self.engine.loading)
+        """Return the state whose changes are reported to polling gateways at once."""
+        return (self._is_ready(), self.engine.loading_model)
 
     def _refresh_table(self) -> None:
         with self.table.changed:
             self.table.slots = self.engine.facts.slots
-            seen = self._readiness()
-            if seen != (self.table.accepting, self.table.loading):
-                self.table.accepting, self.table.loading = seen
+            readiness = self._readiness()
+            if readiness != (self.table.accepting, self.table.loading_model):
+                self.table.accepting, self.table.loading_model = readiness
                 self.table.changed.notify_all()
 
     def _engine_loop(self) -> None:
         while not self.stopped.is_set():
             self.engine.read_report()
-            self._begin_anew()
+            self._restart_stalled()
             if not self.leaving:
-                self.weights.turn()
+                self.weights.run_once()
             self._refresh_table()
-            self.stopped.wait(self._report_pause_s())
+            self.stopped.wait(self._report_interval_s())
 
-    def _report_pause_s(self) -> float:
-        """Return the seconds until the next report; it is free from its own box alone."""
-        far = self.member.role == HOST_ROLE and not self.engine.is_loading
-        return FAR_REPORT_S if far else REPORT_S
+    def _report_interval_s(self) -> float:
+        """Return the seconds until the next report; longer where a report is charged for."""
+        is_remote = self.member.role == HOST_ROLE and not self.engine.is_loading
+        return REMOTE_REPORT_INTERVAL_S if is_remote else REPORT_INTERVAL_S
 
     def _start_loop(self) -> None:
-        """Hand waiting samples to threads as slots get free."""
+        """Start threads for waiting samples as slots become free."""
         while not self.stopped.is_set():
             run = self.table.next_start()
             if run is None:
                 with self.table.changed:
-                    self.table.changed.wait(WATCH_S)
+                    self.table.changed.wait(POLL_INTERVAL_S)
                 continue
-            # Not made in its thread, which may stand still until the sample was begun anew.
-            one = SampleRun(self.engine, self.table, run, self.clock, self.metrics)
-            threading.Thread(target=one.execute, name="sample", daemon=True).start()
+            # Created here and not in its thread: the thread may be delayed until after the sample
+            # was restarted, and would then read the generation of the restarted run.
+            sample_run = SampleRun(self.engine, self.table, run, self.clock, self.metrics)
+            threading.Thread(target=sample_run.execute, name="sample", daemon=True).start()
 
-    def _connections_are_suspect(self) -> None:
-        """Look for runs that stand still once each that does not has brought an event."""
-        self.anew_at = self.clock.now() + QUIET_S
+    def _schedule_stall_check(self) -> None:
+        """Check for stalled runs once every run that is not stalled has had time for an event."""
+        self.stall_check_at = self.clock.now() + STALL_TIMEOUT_S
 
-    def _begin_anew(self) -> None:
-        """Let go on what stands still on silent connections.
+    def _restart_stalled(self) -> None:
+        """Restart runs that are stalled on connections that pass nothing.
 
-        Streams stand still during a load of weights as well; that is waited for.
+        Streams also stall while weights are loaded, so the check is postponed until after that.
         """
         now = self.clock.now()
-        if self.anew_at is None or now < self.anew_at:
+        if self.stall_check_at is None or now < self.stall_check_at:
             return
         if self.engine.is_loading:
-            self.anew_at = now + QUIET_S
+            self.stall_check_at = now + STALL_TIMEOUT_S
             return
-        self.anew_at = None
-        samples = self.table.begin_anew()
+        self.stall_check_at = None
+        samples = self.table.restart_stalled()
         if samples:
-            log_state("samples_begun_anew", samples=samples)
+            log_state("samples_restarted", samples=samples)
 
-    def _silence_loop(self) -> None:
-        while not self.stopped.wait(WATCH_S):
-            cut = self.table.cut_silent()
-            if cut:
-                log_state("gateway_silent", samples=cut, outcome=RunOutcome.CUT.value)
+    def _gateway_check_loop(self) -> None:
+        while not self.stopped.wait(POLL_INTERVAL_S):
+            samples = self.table.cut_abandoned()
+            if samples:
+                log_state("gateway_unresponsive", samples=samples, outcome=RunOutcome.CUT.value)
             if self.member.role != HOST_ROLE:
-                self._check_heard()
+                self._check_listed()
 
-    def _check_heard(self) -> None:
-        """List this sidecar again if no gateway asks; its entry may have been taken away."""
+    def _check_listed(self) -> None:
+        """List this sidecar again if no gateway sends requests; its entry may have been removed."""
         now = self.clock.now()
-        last = max(self.gateways.values(), default=0.0)
-        if now - max(last, self.listed_again) > UNHEARD_S:
-            self.listed_again = now
-            log_state("no_gateway_asks", since_s=round(now - last, 1) if last else None)
+        last = max(self.last_request_at.values(), default=0.0)
+        if now - max(last, self.relisted_at) > RELIST_AFTER_S:
+            self.relisted_at = now
+            log_state("no_gateway_requests", since_s=round(now - last, 1) if last else None)
             self.on_unlisted()
 
 
--- a/src/threadramp/runner/weight_loader.py
+++ b/src/threadramp/runner/weight_loader.py
@@ -1,7 +1,7 @@
-"""Brings the engine to the versions that were named, while this process holds the right to order.
+"""Loads the published weight versions into the engine while this process holds the engine lock.
 
-Level-triggered: what the engine reports is compared with what was named, again and again. So a
-lost answer, an order that is carried out late or a restart needs no special case.
+Level-triggered: the versions that the engine reports are compared with the published ones in every
+pass. So a lost response, an order that is carried out late or a restart needs no special case.
 """
 
 from __future__ import annotations
@@ -19,146 +19,154 @@
     from threadramp.fleet.rights import Right
     from threadramp.runner.engine import Engine
 
-TAKEN_TIMEOUT_S = 4.0  # an order that was taken but shows no effect for so long is given again
-HURRY_S = 0.6  # a gateway asks again while it has to; the engine is looked at each 0.2 s
-ORDER_PAUSE_S = 0.5  # between two orders that were not taken
-# An engine that stood still may have an order of the holder before in its buffers; one that has
-# answered for so long has come to it.
-ANSWERS_S = 1.0
+ORDER_EFFECT_TIMEOUT_S = 4.0  # an accepted order that shows no effect for this long is repeated
+# A gateway repeats the request while the load is urgent; the loader runs every 0.2 s.
+URGENT_TTL_S = 0.6
+ORDER_RETRY_S = 0.5  # between two orders that were not accepted
+# An engine that was suspended may have an order of the previous lock holder in its buffers; once it
+# has answered for this long it has processed that order.
+BUFFERED_ORDER_S = 1.0
 
 
 @dataclass
-class SeenVersion:
-    """The newest version of a model that this sidecar knows of.
+class KnownVersion:
+    """The newest published version of a model that this sidecar knows of.
 
-    :param since: time at which it heard of it
-    :param held_up: whether it was its engine's turn but the engine might not be ordered
+    :param since: time at which the sidecar received it
+    :param is_blocked: whether a load was due but the order could not be sent
     """
 
     version: int
     since: float
-    held_up: bool = False
+    is_blocked: bool = False
 
 
 class WeightLoader:
-    """Decides when the engine is ordered to load what.
+    """Decides when the engine is ordered to load which version.
 
-    :param right: gives the numbers that fence the orders
+    :param lock: engine lock, which gives the fencing tokens of the orders
     :param versions_apart: 1 if the engine loads each version, 2 if every second one
     """
 
-    def __init__(self, engine: Engine, clock: Clock, right: Right, versions_apart: int = 1) -> None:
-        self.right = right
+    def __init__(self, engine: Engine, clock: Clock, lock: Right, versions_apart: int = 1) -> None:
+        self.lock = lock
         self.versions_apart = versions_apart
         self.engine = engine
         self.clock = clock
-        self.seen: dict[str, SeenVersion] = {}
+        self.known_versions: dict[str, KnownVersion] = {}
         self.ordered_at = 0.0
-        self.hurried_model = ""
-        self.hurried_at = 0.0
+        self.urgent_model = ""
+        self.urgent_at = 0.0
         self.not_before = 0.0
 
-    def turn(self) -> None:
-        """Compare and, if it is time, order; to be called after each report."""
+    def run_once(self) -> None:
+        """Send an order if a load is due; to be called after each report."""
         report = self.engine.report
         if report is None:
             return
-        self._check_ordered()
-        if self.engine.is_loading or not self.engine.is_known:
+        self._check_pending_order()
+        if self.engine.is_loading or not self.engine.is_confirmed:
             return
         if self.clock.now() < self.not_before:
             return
         target = self._next_target()
         if target is not None:
-            self._order(target)
+            self._send_order(target)
 
-    def _check_ordered(self) -> None:
-        """See whether the order that was taken has been carried out."""
-        ordered = self.engine.ordered
-        if ordered is None:
+    def _check_pending_order(self) -> None:
+        """Clear the pending order once it was carried out, or has had no effect for too long."""
+        pending = self.engine.pending_order
+        if pending is None:
             return
         report = self.engine.report
         age = self.clock.now() - self.ordered_at
-        if report.versions.get(ordered.model, 0) >= ordered.version and not report.busy:
+        if report.versions.get(pending.model, 0) >= pending.version and not report.busy:
             log_state(
-                "weights_loaded", model=ordered.model, version=ordered.version, s=round(age, 2)
+                "weights_loaded", model=pending.model, version=pending.version, s=round(age, 2)
             )
-            self.engine.ordered = None
-        elif age > TAKEN_TIMEOUT_S and not report.busy:
-            log_state("order_without_effect", model=ordered.model, version=ordered.version)
-            self.engine.ordered = None
+            self.engine.pending_order = None
+        elif age > ORDER_EFFECT_TIMEOUT_S and not report.busy:
+            log_state("order_without_effect", model=pending.model, version=pending.version)
+            self.engine.pending_order = None
 
     def _next_target(self) -> WeightTarget | None:
-        """Return the version to load now, none if it is not time for any."""
+        """Return the version to load now, none if no load is due."""
         facts = self.engine.facts
-        named = {self._named(one): one for one in facts.targets if one.model in facts.share.shifts}
+        published = {
+            self._published_version(one): one
+            for one in facts.targets
+            if one.model in facts.share.shifts
+        }
         seconds = self.clock.time_of_day()
         apart = self.versions_apart
-        chosen = next_load(list(named), facts.share, seconds, apart, self._hurried())
-        return named[chosen] if chosen is not None else None
+        chosen = next_load(
+            list(published), facts.share, seconds, apart, self._current_urgent_model()
+        )
+        return published[chosen] if chosen is not None else None
 
-    def _named(self, target: WeightTarget) -> NamedVersion:
-        """Return a named version beside what the engine has of it."""
+    def _published_version(self, target: WeightTarget) -> NamedVersion:
+        """Return a published version along with the version that the engine holds."""
         now = self.clock.now()
-        seen = self.seen.get(target.model)
-        if seen is None or seen.version != target.version:
-            seen = SeenVersion(target.version, now)
-            self.seen[target.model] = seen
+        known = self.known_versions.get(target.model)
+        if known is None or known.version != target.version:
+            known = KnownVersion(target.version, now)
+            self.known_versions[target.model] = known
         return NamedVersion(
             model=target.model,
             version=target.version,
             held=self.engine.report.versions.get(target.model, 0),
-            # While the right to order is waited for, 5 s after a take-over, it does not get old.
-            known_s=0.0 if seen.held_up else now - seen.since,
+            # A version does not age while orders are blocked, for example during the wait for the
+            # engine lock, 5 s after a takeover.
+            known_s=0.0 if known.is_blocked else now - known.since,
         )
 
-    def hurry(self, model: str) -> None:
-        """Take note that no engine can run what waits for a model."""
-        self.hurried_model = model
-        self.hurried_at = self.clock.now()
+    def request_urgent_load(self, model: str) -> None:
+        """Record that no engine can run the samples that wait for a model."""
+        self.urgent_model = model
+        self.urgent_at = self.clock.now()
 
-    def _hurried(self) -> str:
-        """Return the model that a gateway wants at once, empty if none is."""
-        return self.hurried_model if self.clock.now() - self.hurried_at < HURRY_S else ""
+    def _current_urgent_model(self) -> str:
+        """Return the model for which a gateway has requested an urgent load, empty if none."""
+        return self.urgent_model if self.clock.now() - self.urgent_at < URGENT_TTL_S else ""
 
-    def _may_be_overtaken(self) -> bool:
-        """Return whether the engine may come to an order of another holder only later."""
-        answers_s = self.clock.now() - self.engine.answers_since
-        return self.right.shared and answers_s < ANSWERS_S
+    def _may_have_buffered_order(self) -> bool:
+        """Return whether the engine may yet process an order of a previous lock holder."""
+        responsive_s = self.clock.now() - self.engine.responsive_since
+        return self.lock.shared and responsive_s < BUFFERED_ORDER_S
 
-    def _order(self, target: WeightTarget) -> None:
+    def _send_order(self, target: WeightTarget) -> None:
         report = self.engine.report
-        start = self.engine.start
-        # What others say of this process is no proof: they may not know of the next holder.
-        fence = self.right.proven_number()
-        if self._may_be_overtaken():
+        incarnation = self.engine.incarnation
+        # Only the store can verify the lock: other processes may not know of the next holder.
+        fence = self.lock.proven_number()
+        if self._may_have_buffered_order():
             fence = 0
-        self.seen[target.model].held_up = not fence
+        self.known_versions[target.model].is_blocked = not fence
         if not fence:
-            self.not_before = self.clock.now() + ORDER_PAUSE_S
+            self.not_before = self.clock.now() + ORDER_RETRY_S
             return
-        self.engine.ordered = target
-        self.engine.ordered_model = target.model
+        self.engine.pending_order = target
+        self.engine.pending_model = target.model
         self.ordered_at = self.clock.now()
-        outcome = self.engine.order(target, fence, report.orders, self.right.still_proven)
+        outcome = self.engine.send_order(target, fence, report.orders, self.lock.still_proven)
         log_state(
             "order",
             model=target.model,
             version=target.version,
             holds=report.versions.get(target.model, 0),
-            instance=start.instance,
+            instance=incarnation.instance,
             fence=fence,
-            right_shown_ago_s=round(self.right.shown_ago_s(), 2),
+            lock_verified_ago_s=round(self.lock.shown_ago_s(), 2),
             after=report.orders,
             outcome=outcome.value,
         )
         if outcome is OrderOutcome.TAKEN:
             return
-        self.seen[target.model].held_up = outcome is OrderOutcome.NOT_SENT
+        self.known_versions[target.model].is_blocked = outcome is OrderOutcome.NOT_SENT
         if outcome is OrderOutcome.OTHER_INSTANCE:
-            self.engine.is_another(start)
-        self.engine.ordered = None
-        self.not_before = self.clock.now() + ORDER_PAUSE_S
+            self.engine.mark_superseded(incarnation)
+        self.engine.pending_order = None
+        self.not_before = self.clock.now() + ORDER_RETRY_S
 
 
 __all__ = ["WeightLoader"]
--- a/tests/runner/conftest.py
+++ b/tests/runner/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of an engine that may answer twice, and of its runner's client."""
+"""Fixtures: a proxy that may send duplicate responses, and an engine client behind it."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 @pytest.fixture
-def front(engine_address: str) -> Iterator[StutteringFront]:
+def proxy(engine_address: str) -> Iterator[StutteringFront]:
     made = StutteringFront(engine_address)
     yield made
     made.close()
 
 
 @pytest.fixture
-def own_engine(front: StutteringFront) -> Engine:
-    made = Engine(front.address, "p", "box-1", Clock())
-    made.learn(facts())
+def own_engine(proxy: StutteringFront) -> Engine:
+    made = Engine(proxy.address, "p", "box-1", Clock())
+    made.update_facts(facts())
     return made
--- a/tests/runner/test_crash_detection.py
+++ b/tests/runner/test_crash_detection.py
@@ -1,4 +1,4 @@
-"""An engine that ends behind a front is told from one that is full or busy."""
+"""A crash of an engine behind a reverse proxy is told from a full or busy engine."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     made.close()
 
 
-def test_one_that_lives_has_not_ended(engine):
+def test_a_live_engine_has_not_crashed(engine):
     engine.cut()
     assert not has_crashed(engine.address, RAN_S)
 
 
-def test_one_that_crashed_under_a_sample_has(engine):
+def test_an_engine_that_crashed_while_running_a_sample_has_crashed(engine):
     engine.crash()
     assert has_crashed(engine.address, RAN_S)
 
 
-def test_a_sample_that_was_not_begun_is_not_to_blame():
+def test_a_sample_that_was_not_begun_is_not_the_cause():
     """The engine was down before, or is full."""
     assert not has_crashed("", AT_ONCE_S, lambda address: EndpointState.BREAKS)
 
 
 @pytest.mark.parametrize("state", [EndpointState.LISTENS, EndpointState.UNKNOWN])
-def test_what_tells_nothing_is_no_end(state):
+def test_an_inconclusive_probe_is_no_crash(state):
     assert not has_crashed("", RAN_S, lambda address: state)
--- a/tests/runner/test_engine.py
+++ b/tests/runner/test_engine.py
@@ -1,4 +1,4 @@
-"""An engine that answers twice, as its sidecar asks for reports and gives orders."""
+"""Reports and orders of an engine that sends duplicate responses or pauses."""
 
 from __future__ import annotations
 
@@ -17,121 +17,121 @@
 SAMPLE = {"Host": "h", "X-Attempt-Id": "s1", "X-Model": "m"}
 
 
-def is_sample(target: str, ident: str) -> bool:
-    return bool(ident)
+def is_sample(target: str, request_id: str) -> bool:
+    return bool(request_id)
 
 
-def is_report(target: str, ident: str) -> bool:
+def is_report(target: str, request_id: str) -> bool:
     return target.endswith("/report")
 
 
 def run_sample(own_engine: Engine) -> None:
-    """Run a sample at the engine and keep its connection."""
+    """Run a sample at the engine and return its connection to the pool."""
     exchange = own_engine.connections.open(own_engine.endpoint(), Clock().now(), 1.0)
     exchange.send("POST", "/p", SAMPLE, b"q")
-    own_engine.keep(exchange, exchange.read(1.0))
+    own_engine.release_connection(exchange, exchange.read(1.0))
 
 
-def test_a_second_answer_of_a_sample_is_no_report(front, own_engine):
-    """The engine counted as lost for a report."""
-    front.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT, concerns=is_sample)
+def test_a_duplicate_response_to_a_sample_is_no_report(proxy, own_engine):
+    """The duplicate was read as the report, and the engine was taken for lost."""
+    proxy.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT, concerns=is_sample)
     run_sample(own_engine)
     assert own_engine.read_report()
 
 
 @pytest.mark.parametrize("second", list(Second))
 @pytest.mark.parametrize("moment", list(Moment))
-def test_an_engine_that_tells_twice_is_not_lost(front, own_engine, second, moment):
-    front.stutter = Stutter(second, moment, concerns=is_report)
+def test_an_engine_that_sends_duplicate_reports_is_not_lost(proxy, own_engine, second, moment):
+    proxy.stutter = Stutter(second, moment, concerns=is_report)
     assert [own_engine.read_report() for _ in range(6)] == [True] * 6
 
 
-def test_a_second_answer_of_a_sample_does_not_say_that_a_version_is_held(front, own_engine):
-    """It was taken for the answer to the order that the engine holds the version already."""
-    front.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT, concerns=is_sample)
+def test_a_duplicate_response_to_a_sample_does_not_answer_an_order(proxy, own_engine):
+    """It was read as the response to the order: the engine holds the version already."""
+    proxy.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT, concerns=is_sample)
     run_sample(own_engine)
-    assert own_engine.order(LOAD, 1, 0, lambda: True) is OrderOutcome.TAKEN
+    assert own_engine.send_order(LOAD, 1, 0, lambda: True) is OrderOutcome.TAKEN
 
 
 @pytest.mark.parametrize("moment", list(Moment))
-def test_a_second_report_is_not_taken_for_the_answer_to_an_order(front, own_engine, moment):
-    front.stutter = Stutter(Second.WHOLE, moment, concerns=is_report)
+def test_a_duplicate_report_does_not_answer_an_order(proxy, own_engine, moment):
+    proxy.stutter = Stutter(Second.WHOLE, moment, concerns=is_report)
     own_engine.read_report()
     own_engine.read_report()
-    assert own_engine.order(LOAD, 1, 0, lambda: True) is OrderOutcome.TAKEN
+    assert own_engine.send_order(LOAD, 1, 0, lambda: True) is OrderOutcome.TAKEN
 
 
 def answer_once(engine, older) -> None:
-    """Let an engine answer once as it did before."""
-    now = engine.answer
+    """Let an engine repeat an older response once."""
+    normal_answer = engine.answer
 
     def answer(request):
-        engine.answer = now
+        engine.answer = normal_answer
         return older
 
     engine.answer = answer
 
 
 def answer_late(engine, times: int, after: int = 0) -> None:
-    """Let an engine stand still before its next answers for longer than a report may take.
+    """Let an engine pause before its next responses for longer than the report timeout.
 
-    :param times: the number of the last one that is late
-    :param after: the number of those before that are in time
+    :param times: number of next responses up to the last late one
+    :param after: number of those that are still in time
     """
-    now = engine.answer
-    left = iter(range(times))
+    normal_answer = engine.answer
+    responses = iter(range(times))
 
     def answer(request):
-        if next(left, -1) >= after:
+        if next(responses, -1) >= after:
             time.sleep(REPORT_TIMEOUT_S + 0.1)
-        return now(request)
+        return normal_answer(request)
 
     engine.answer = answer
 
 
 def test_one_pause_does_not_make_an_engine_lost(engine, own_engine):
-    """A box that stood still for some tenths of a second got no samples until the next report."""
+    """A box that paused for some tenths of a second got no samples until the next report."""
     assert own_engine.read_report()
-    own_engine.forget_connections()
+    own_engine.close_idle_connections()
     answer_late(engine, 1)
     assert own_engine.read_report()
 
 
-def test_one_pause_after_a_mixed_answer_does_not_make_an_engine_lost(front, engine, own_engine):
-    """The question after a duplicate amid the report was the only one that a pause could meet."""
-    front.stutter = Stutter(Second.WHOLE, Moment.AMID, concerns=is_report)
+def test_one_pause_after_a_mixed_response_does_not_make_an_engine_lost(proxy, engine, own_engine):
+    """The retry after a duplicate within the report was not repeated if a pause delayed it."""
+    proxy.stutter = Stutter(Second.WHOLE, Moment.AMID, concerns=is_report)
     assert own_engine.read_report()
     answer_late(engine, 2, after=1)
     assert own_engine.read_report()
 
 
-@pytest.mark.parametrize("is_kept", [True, False])
-def test_an_engine_that_stays_silent_is_lost_after_two_questions(
-    front, engine, own_engine, is_kept
+@pytest.mark.parametrize("is_reused", [True, False])
+def test_an_engine_that_stays_unresponsive_is_lost_after_two_requests(
+    proxy, engine, own_engine, is_reused
 ):
-    """To ask once more must not hide that nothing answers."""
+    """The retry must not hide that nothing answers."""
     assert own_engine.read_report()
-    if not is_kept:
-        own_engine.forget_connections()
+    if not is_reused:
+        own_engine.close_idle_connections()
     answer_late(engine, 9)
-    opened = front.opened
+    opened = proxy.opened
     assert not own_engine.read_report()
     assert own_engine.report is None
-    assert front.opened - opened == (1 if is_kept else 2)
+    assert proxy.opened - opened == (1 if is_reused else 2)
 
 
-def test_an_engine_that_is_lost_is_asked_once_a_turn(front, engine, own_engine):
-    """Asked twice each time, one that comes back would be seen later."""
+def test_a_lost_engine_is_requested_once_per_pass(proxy, engine, own_engine):
+    """With two requests in each pass, its recovery would be detected later."""
     answer_late(engine, 9)
     assert not own_engine.read_report()
-    opened = front.opened
+    opened = proxy.opened
     assert not own_engine.read_report()
-    assert front.opened - opened == 1
+    assert proxy.opened - opened == 1
 
 
 @pytest.fixture
 def older_report(engine, own_engine):
-    """What the engine said of itself before it took an order and changed its version."""
+    """The engine's report from before it accepted an order and changed its version."""
     own_engine.read_report()
     older = engine.answer(Request("GET", ("threadramp", "report"), {}, {}, b""))
     engine.orders.append({})
@@ -140,33 +140,35 @@
     return older
 
 
-def test_an_older_report_that_comes_again_is_no_new_start(engine, own_engine, older_report):
-    """Its lower count was taken for a start of which nothing of before is known."""
-    starts = []
-    own_engine.on_start = lambda: starts.append(own_engine.start)
+def test_a_duplicate_of_an_older_report_is_no_new_incarnation(engine, own_engine, older_report):
+    """Its lower order count was taken for a restart, and the engine's state was dropped."""
+    incarnations = []
+    own_engine.on_new_incarnation = lambda: incarnations.append(own_engine.incarnation)
     answer_once(engine, older_report)
     assert own_engine.read_report()
     assert (own_engine.report.orders, own_engine.report.versions) == (1, {"m": 2})
-    assert starts == []
+    assert incarnations == []
 
 
-def test_what_falls_on_a_new_connection_too_is_believed(front, engine, own_engine, older_report):
+def test_a_report_that_regresses_on_a_new_connection_too_is_accepted(
+    proxy, engine, own_engine, older_report
+):
     engine.versions["m"] = 1
     own_engine.read_report()
-    assert front.opened == 2
+    assert proxy.opened == 2
     assert own_engine.report.versions == {"m": 1}
 
 
-def test_reports_use_one_connection_and_each_order_another(front, own_engine):
+def test_reports_use_one_connection_and_each_order_another(proxy, own_engine):
     for _ in range(5):
         own_engine.read_report()
-    assert front.opened == 1
-    own_engine.order(LOAD, 1, 0, lambda: True)
+    assert proxy.opened == 1
+    own_engine.send_order(LOAD, 1, 0, lambda: True)
     own_engine.read_report()
-    assert front.opened == 2
+    assert proxy.opened == 2
 
 
-def test_samples_do_not_take_the_connection_of_reports(front, own_engine):
+def test_samples_do_not_take_the_connection_of_reports(proxy, own_engine):
     own_engine.read_report()
     run_sample(own_engine)
-    assert front.opened == 2
+    assert proxy.opened == 2
--- a/tests/runner/test_engine_lock.py
+++ b/tests/runner/test_engine_lock.py
@@ -1,4 +1,4 @@
-"""Who may order an engine: one holder at a time, with numbers that rise from holder to holder."""
+"""The engine lock: one holder at a time, and fencing tokens that increase with each holder."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tests.stores import MemoryStore
 from threadramp.fleet.rights import AGAIN_S, PROVEN_S, Right
 from threadramp.platform.store_model import Item, StoreUnknownError
-from threadramp.runner.engine_lock import HAND_OVER_MARGIN_S, make_engine_lock
+from threadramp.runner.engine_lock import TAKEOVER_MARGIN_S, make_engine_lock
 
 APART_S = 3.0
 KEY = "engine/10.0.0.1:80"
-WAIT_S = APART_S + HAND_OVER_MARGIN_S
+WAIT_S = APART_S + TAKEOVER_MARGIN_S
 
 
 @pytest.fixture
@@ -21,57 +21,57 @@
     return MemoryStore()
 
 
-def right(store, holder, clock, **how) -> Right:
-    return make_engine_lock(store, "10.0.0.1:80", holder, APART_S, clock, **how)
+def lock_of(store, holder, clock, **options) -> Right:
+    return make_engine_lock(store, "10.0.0.1:80", holder, APART_S, clock, **options)
 
 
-def test_who_takes_it_first_orders_at_once_and_asks_for_each_order(store, clock):
-    side = right(store, "side", clock)
-    assert side.proven_number() == 11
-    assert side.proven_number() == 11
+def test_the_first_holder_orders_at_once_and_verifies_each_order(store, clock):
+    sidecar = lock_of(store, "sidecar", clock)
+    assert sidecar.proven_number() == 11
+    assert sidecar.proven_number() == 11
     assert store.calls == 2
 
 
-def test_another_holder_has_a_higher_number_and_waits(store, clock):
-    first = right(store, "side", clock).proven_number()
-    front = right(store, "front", clock)
-    assert front.proven_number() == 0
+def test_another_holder_has_a_higher_token_and_waits(store, clock):
+    first = lock_of(store, "sidecar", clock).proven_number()
+    gateway = lock_of(store, "gateway", clock)
+    assert gateway.proven_number() == 0
     clock.at += WAIT_S - 0.1
-    assert front.proven_number() == 0
+    assert gateway.proven_number() == 0
     clock.at += 0.2
-    assert front.proven_number() > first
+    assert gateway.proven_number() > first
 
 
-def test_the_one_before_sees_that_it_is_gone_and_takes_it_back_the_same_way(store, clock):
-    side, front = right(store, "side", clock), right(store, "front", clock)
-    side.proven_number()
-    front.proven_number()
+def test_the_previous_holder_detects_the_loss_and_takes_the_lock_back_the_same_way(store, clock):
+    sidecar, gateway = lock_of(store, "sidecar", clock), lock_of(store, "gateway", clock)
+    sidecar.proven_number()
+    gateway.proven_number()
     clock.at += WAIT_S
-    number = front.proven_number()
-    assert side.proven_number() == 0
+    number = gateway.proven_number()
+    assert sidecar.proven_number() == 0
     clock.at += WAIT_S
-    assert side.proven_number() > number
-    assert front.proven_number() == 0
+    assert sidecar.proven_number() > number
+    assert gateway.proven_number() == 0
 
 
-def test_who_may_not_take_it_leaves_it(store, clock):
-    front = right(store, "front", clock, may_take=lambda: False)
-    assert front.proven_number() == 0
+def test_a_process_that_may_not_take_the_lock_sends_no_request(store, clock):
+    gateway = lock_of(store, "gateway", clock, may_take=lambda: False)
+    assert gateway.proven_number() == 0
     assert store.calls == 0
 
 
-def test_the_next_process_of_a_box_goes_on_with_its_number(store, clock):
-    number = right(store, "side", clock).proven_number()
-    assert right(store, "side", clock).proven_number() == number
+def test_the_next_process_of_a_box_keeps_the_token(store, clock):
+    number = lock_of(store, "sidecar", clock).proven_number()
+    assert lock_of(store, "sidecar", clock).proven_number() == number
 
 
 @pytest.mark.parametrize("jump_s", [-20.0, 0.0, 20.0])
 def test_the_next_process_of_a_box_waits_again_whatever_the_time_of_day_is(store, clock, jump_s):
-    right(store, "side", clock).proven_number()
-    right(store, "front", clock).proven_number()
+    lock_of(store, "sidecar", clock).proven_number()
+    lock_of(store, "gateway", clock).proven_number()
     clock.at += 1.0
     clock.time_of_day = lambda: 1_700_000_000.0 + clock.at + jump_s
-    again = right(store, "front", clock)
+    again = lock_of(store, "gateway", clock)
     assert again.proven_number() == 0
     clock.at += WAIT_S - 0.1
     assert again.proven_number() == 0
@@ -79,81 +79,81 @@
     assert again.proven_number()
 
 
-def test_once_it_has_waited_the_next_process_of_a_box_does_not_wait(store, clock):
-    right(store, "side", clock).proven_number()
-    front = right(store, "front", clock)
-    front.proven_number()
+def test_the_next_process_of_a_box_does_not_wait_once_the_wait_is_over(store, clock):
+    lock_of(store, "sidecar", clock).proven_number()
+    gateway = lock_of(store, "gateway", clock)
+    gateway.proven_number()
     clock.at += WAIT_S
-    number = front.proven_number()
-    assert right(store, "front", clock).proven_number() == number
+    number = gateway.proven_number()
+    assert lock_of(store, "gateway", clock).proven_number() == number
 
 
-def test_a_take_over_that_the_store_does_late_is_waited_for_from_when_it_is_found(store, clock):
-    """The holder before may have been told that it holds the right until the write was done."""
-    side, front = right(store, "side", clock), right(store, "front", clock)
-    side.proven_number()
+def test_a_late_takeover_write_is_waited_for_from_its_detection(store, clock):
+    """The previous holder may have been verified until the write was committed."""
+    sidecar, gateway = lock_of(store, "sidecar", clock), lock_of(store, "gateway", clock)
+    sidecar.proven_number()
     transact, late = store.transact, []
 
-    def keep_for_later(transaction, repeatable=False):
+    def delay(transaction, repeatable=False):
         if transaction.expected == {KEY: 11} and not late:
             late.append(transaction)
             raise StoreUnknownError("no answer")
         return transact(transaction, repeatable)
 
-    store.transact = keep_for_later
-    assert front.proven_number() == 0
+    store.transact = delay
+    assert gateway.proven_number() == 0
     clock.at += WAIT_S - 1.0
-    assert side.proven_number() == 11
+    assert sidecar.proven_number() == 11
     transact(late[0])
     clock.at += AGAIN_S
-    assert front.proven_number() == 0
+    assert gateway.proven_number() == 0
     clock.at += WAIT_S - 0.1
-    assert front.proven_number() == 0
+    assert gateway.proven_number() == 0
     clock.at += 0.2
-    assert front.proven_number() > 11
+    assert gateway.proven_number() > 11
 
 
-def test_a_proof_is_old_after_a_second_whoever_asks_this_process_meanwhile(store, clock):
-    side = right(store, "side", clock)
-    side.proven_number()
+def test_a_verification_expires_after_a_second(store, clock):
+    sidecar = lock_of(store, "sidecar", clock)
+    sidecar.proven_number()
     clock.at += PROVEN_S - 0.01
-    assert side.still_proven()
+    assert sidecar.still_proven()
     clock.at += 0.02
-    assert not side.still_proven()
+    assert not sidecar.still_proven()
 
 
-def test_an_answer_that_lay_here_proves_nothing(store, clock):
-    """The process stood still after the store had answered: the proof counts from the question."""
-    side = right(store, "side", clock)
-    side.proven_number()
+def test_a_store_response_that_is_processed_late_verifies_nothing(store, clock):
+    """The process was suspended after the store had answered: the time counts from the request."""
+    sidecar = lock_of(store, "sidecar", clock)
+    sidecar.proven_number()
     get = store.get
 
-    def stand_still(key):
+    def get_late(key):
         found = get(key)
         clock.at += PROVEN_S + 0.1
         return found
 
-    store.get = stand_still
-    assert side.proven_number() == 0
+    store.get = get_late
+    assert sidecar.proven_number() == 0
     store.get = get
-    assert side.proven_number() == 11
+    assert sidecar.proven_number() == 11
 
 
-def test_a_lost_answer_is_settled_by_the_next_look(store, clock):
+def test_a_lost_response_is_resolved_by_the_next_read(store, clock):
     store.loses = True
-    side = right(store, "side", clock)
-    assert side.proven_number() == 0
+    sidecar = lock_of(store, "sidecar", clock)
+    assert sidecar.proven_number() == 0
     store.loses = False
     clock.at += AGAIN_S
-    assert side.proven_number() == store.revision
+    assert sidecar.proven_number() == store.revision
 
 
-def test_a_value_that_nobody_can_read_is_taken_over_as_from_another(store, clock):
+def test_an_undecodable_value_is_taken_over_as_from_another_holder(store, clock):
     store.items[KEY] = Item(KEY, b"\xc1", 10)
-    side = right(store, "side", clock)
-    assert side.proven_number() == 0
+    sidecar = lock_of(store, "sidecar", clock)
+    assert sidecar.proven_number() == 0
     clock.at += WAIT_S
-    assert side.proven_number() == 12  # of the write that says that it has waited
+    assert sidecar.proven_number() == 12  # revision of the write that ends the wait
 
 
 STEPS = st.lists(
@@ -163,23 +163,23 @@
 
 @settings(suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(steps=STEPS)
-def test_numbers_of_orders_never_fall_and_holders_never_take_turns(clock, steps):
-    """Three that all want it and look each time, in any order, with answers lost now and then."""
+def test_tokens_of_orders_never_decrease_and_holders_never_alternate(clock, steps):
+    """Three processes request the lock in random order; some store responses are lost."""
     store = MemoryStore()
     clock.at = 100.0
-    holders = [right(store, f"box-{n}", clock) for n in range(3)]
-    given_orders: list[tuple[int, int, float]] = []
-    for number, loses, pause_s in steps:
+    holders = [lock_of(store, f"box-{n}", clock) for n in range(3)]
+    sent_orders: list[tuple[int, int, float]] = []
+    for index, loses, pause_s in steps:
         store.loses = loses
-        order = holders[number].proven_number()
-        if order:
-            given_orders.append((number, order, clock.at))
+        token = holders[index].proven_number()
+        if token:
+            sent_orders.append((index, token, clock.at))
         clock.at += pause_s
-    for (holder, before, at), (next_holder, after, then) in zip(
-        given_orders, given_orders[1:], strict=False
+    for (holder, before, at), (next_holder, after, next_at) in zip(
+        sent_orders, sent_orders[1:], strict=False
     ):
         if holder == next_holder:
             assert after >= before
         else:
             assert after > before
-            assert then - at >= APART_S
+            assert next_at - at >= APART_S
--- a/tests/runner/test_hosting.py
+++ b/tests/runner/test_hosting.py
@@ -1,9 +1,9 @@
-"""When a gateway takes an engine for one that has no sidecar.
+"""When a gateway treats an engine as one without a sidecar.
 
-Seen: a gateway that had just begun took the right to order an engine from its living sidecar, and
-ordered 5 s later. How it came about: it got the list of endpoints, but the store did not give it
-the list of members yet. Cause: no sidecar known was taken for no sidecar there, counted from its
-own begin, and nobody was asked. Proof: without the mend both tests fail.
+Guards against a gateway that had just started taking the engine lock from a live sidecar and
+sending an order 5 s later. It had the list of endpoints, but the store had not yet returned the
+member list. It then treated every unknown sidecar as missing since its own start, and did not probe
+the sidecar.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from threadramp.fleet.model import Endpoint
 from threadramp.fleet.picture import Belief, Member
-from threadramp.runner.hosting import BARE_S, HostedRunners
+from threadramp.runner.hosting import NO_SIDECAR_S, HostedRunners
 
 ENGINE = Endpoint("i-1", "p", "10.0.0.9:80", "a", 6)
 
@@ -26,34 +26,36 @@
 
 @pytest.fixture
 def hosting(clock, members) -> HostedRunners:
-    me = Member("front-0", "gateway", "i", "10.0.0.1:1", "a", "")
+    gateway = Member("front-0", "gateway", "i", "10.0.0.1:1", "a", "")
     peers = SimpleNamespace(
         picture=SimpleNamespace(members=members, belief=Belief(endpoints={"i-1": ENGINE})),
-        member=me,
+        member=gateway,
         heard={},
         sidecars=list,
-        live_gateways=lambda: [me],
+        live_gateways=lambda: [gateway],
     )
     return HostedRunners(peers, None, clock, None, 1, 3.0)
 
 
-def falls_here(hosting: HostedRunners) -> bool:
+def should_host(hosting: HostedRunners) -> bool:
     belief = hosting.peers.picture.belief
-    hosting._note_covered(belief)
-    return hosting._falls_here(ENGINE, belief)
+    hosting._update_coverage(belief)
+    return hosting._should_host(ENGINE, belief)
 
 
-def test_without_the_list_of_members_no_engine_is_taken_for_bare(hosting, clock):
+def test_without_the_member_list_every_engine_counts_as_having_a_sidecar(hosting, clock):
     for _ in range(20):
         clock.at += 0.5
-        assert not falls_here(hosting)
+        assert not should_host(hosting)
 
 
-def test_an_engine_is_bare_a_while_after_the_list_of_members_came(hosting, members, clock):
+def test_an_engine_lacks_a_sidecar_only_a_while_after_the_member_list_arrived(
+    hosting, members, clock
+):
     clock.at += 10.0
-    assert not falls_here(hosting)
+    assert not should_host(hosting)
     members.known = True
-    clock.at += BARE_S - 0.1
-    assert not falls_here(hosting)
+    clock.at += NO_SIDECAR_S - 0.1
+    assert not should_host(hosting)
     clock.at += 0.2
-    assert falls_here(hosting)
+    assert should_host(hosting)
--- a/tests/runner/test_chains.py
+++ b/tests/runner/test_interleaving.py
@@ -1,7 +1,8 @@
-"""Gateways and sidecars together, with answers lost, late and crossed: texts are never mixed.
+"""Gateways and sidecars exchange lost, delayed and reordered messages; texts are never mixed.
 
-Each run of the engine names its events after itself. A text is right if every event is there once,
-in order, and if it goes on with another run only where that run was asked to go on.
+Each run at an engine puts its own name into its events. A text is correct if it has every event
+once and in order, and if it continues with another run only at the event after which that run was
+asked to resume.
 """
 
 from __future__ import annotations
@@ -24,11 +25,14 @@
 
 @dataclass
 class Engine:
-    """The runs of one engine, with where each was asked to begin."""
+    """The runs of one engine.
+
+    :param resumed_at: number of events after which each run was asked to resume, by run
+    """
 
     name: str
     clock: FakeClock
-    asked: dict[str, int]
+    resumed_at: dict[str, int]
     table: RunTable = None
     runs: list = field(default_factory=list)
 
@@ -39,20 +43,22 @@
 
     def start(self) -> None:
         while (run := self.table.next_start()) is not None:
-            name = f"{self.name}.{len(self.asked)}"
-            self.asked[name] = run.count
-            self.runs.append((run, run.life, name))
-
-    def work(self, random: Random) -> None:
-        for run, life, name in list(self.runs):
-            if run.life != life or not run.is_open:
-                self.runs.remove((run, life, name))
-            elif run.count == LENGTH:
-                self.table.finish(run, life, RunOutcome.WHOLE)
+            name = f"{self.name}.{len(self.resumed_at)}"
+            self.resumed_at[name] = run.event_count
+            self.runs.append((run, run.generation, name))
+
+    def produce(self, random: Random) -> None:
+        for run, generation, name in list(self.runs):
+            if run.generation != generation or not run.is_open:
+                self.runs.remove((run, generation, name))
+            elif run.event_count == LENGTH:
+                self.table.finish(run, generation, RunOutcome.WHOLE)
             elif random.random() < 0.05:
-                self.table.finish(run, life, random.choice([RunOutcome.CUT, RunOutcome.FAILED]))
+                self.table.finish(
+                    run, generation, random.choice([RunOutcome.CUT, RunOutcome.FAILED])
+                )
             else:
-                self.table.add_event(run, life, f"{name}:{run.count + 1}", 1)
+                self.table.add_event(run, generation, f"{name}:{run.event_count + 1}", 1)
 
     def restart(self) -> None:
         self.runs.clear()
@@ -60,45 +66,45 @@
 
 
 class Gateway:
-    """A lot's owner whose messages may be lost, late or crossed."""
+    """The owner of a lot; its messages may be lost, delayed or reordered."""
 
     def __init__(self, name: str, random: Random):
         self.name = name
         self.random = random
         self.book = make_book(*[make_sample(f"s{n}", "g", reward=None) for n in range(SAMPLES)])
         self.book.rules = type(self.book.rules)(99, False, 7.5, 1e9)
-        self.late: list = []
-        self.chains = 0
+        self.in_flight: list = []
+        self.lineages = 0
 
     def submit(self, engine: Engine) -> None:
         for state in self.book.waiting(1e9):
             if self.random.random() < 0.5:
                 continue
-            self.chains += 1
+            self.lineages += 1
             name = state.sample.id
             order = RunOrder(
                 state.sample, "h", 1, False, len(state.events),
-                state.lineage if state.events else "", f"{self.name}/{self.chains}", 1.0, 40.0,
+                state.lineage if state.events else "", f"{self.name}/{self.lineages}", 1.0, 40.0,
             )  # fmt: skip
             self.book.assign(name, engine.name)
-            if self.random.random() < 0.1:  # it did not arrive
+            if self.random.random() < 0.1:  # the request was lost
                 self.book.give_back(name, engine.name, 0.0)
                 continue
             taken = engine.table.submit((order,))
-            if name not in taken or self.random.random() < 0.1:  # refused, or its answer was lost
+            if name not in taken or self.random.random() < 0.1:  # refused, or the reply was lost
                 self.book.give_back(name, engine.name, 0.0)
             else:
                 self.book.accepted(name, engine.name, taken[name])
 
-    def ask(self, engine: Engine) -> None:
+    def poll(self, engine: Engine) -> None:
         reply = engine.table.collect(self.book.at_runner(engine.name), 0.0, lambda: True)
-        self.late.append((engine.name, reply))
+        self.in_flight.append((engine.name, reply))
 
-    def hear(self) -> None:
-        """Take one of the replies that are on their way, not always the first."""
-        if not self.late:
+    def receive(self) -> None:
+        """Process one of the replies in flight, in random order."""
+        if not self.in_flight:
             return
-        runner, (updates, unknown) = self.late.pop(self.random.randrange(len(self.late)))
+        runner, (updates, unknown) = self.in_flight.pop(self.random.randrange(len(self.in_flight)))
         for update in updates:
             added = self.book.add_events(
                 update.sample, runner, update.base, update.events, update.versions, update.lineage
@@ -111,13 +117,15 @@
             self.book.give_back(sample, runner, 0.0)
 
 
-def check(events: list[str], asked: dict[str, int]) -> None:
+def check_text(events: list[str], resumed_at: dict[str, int]) -> None:
     before = None
-    for place, event in enumerate(events):
+    for index, event in enumerate(events):
         run, _, number = event.partition(":")
-        assert int(number) == place + 1
+        assert int(number) == index + 1
         if before is not None and run != before:
-            assert asked[run] == place, f"{run} was asked to go on at {asked[run]}: {events}"
+            assert (
+                resumed_at[run] == index
+            ), f"{run} was asked to resume at {resumed_at[run]}: {events}"
         before = run
 
 
@@ -125,37 +133,37 @@
 def test_no_order_of_messages_mixes_texts(seed):
     random = Random(seed)
     clock = FakeClock()
-    asked: dict[str, int] = {}
-    engines = [Engine(name, clock, asked) for name in ("e1", "e2")]
+    resumed_at: dict[str, int] = {}
+    engines = [Engine(name, clock, resumed_at) for name in ("e1", "e2")]
     gateways = [Gateway(name, random) for name in ("g1", "g2")]
     for _ in range(STEPS):
         clock.at += 0.05
         engine = random.choice(engines)
         gateway = random.choice(gateways)
-        act = random.random()
-        if act < 0.25:
+        action = random.random()
+        if action < 0.25:
             gateway.submit(engine)
-        elif act < 0.45:
-            gateway.ask(engine)
-        elif act < 0.65:
-            gateway.hear()
-        elif act < 0.68:
+        elif action < 0.45:
+            gateway.poll(engine)
+        elif action < 0.65:
+            gateway.receive()
+        elif action < 0.68:
             gateway.book.lose_runner(engine.name, 0.0)
-        elif act < 0.69:
+        elif action < 0.69:
             engine.restart()
-        elif act < 0.72:
+        elif action < 0.72:
             engine.table.drop(gateway.book.at_runner(engine.name), let_finish=False)
         else:
             engine.start()
-            engine.work(random)
+            engine.produce(random)
         for one in gateways:
             for state in one.book.states.values():
-                check(state.events, asked)
-    whole = [
+                check_text(state.events, resumed_at)
+    finished = [
         state
         for gateway in gateways
         for state in gateway.book.states.values()
         if state.phase is Phase.STAGED
     ]
-    assert whole, "nothing was finished: the test shows nothing"
-    assert all(len(state.events) == LENGTH for state in whole)
+    assert finished, "no sample was finished, so nothing was checked"
+    assert all(len(state.events) == LENGTH for state in finished)
--- a/tests/runner/test_same_id.py
+++ b/tests/runner/test_reused_ids.py
@@ -1,4 +1,4 @@
-"""An id that a later lot names again, for another sample."""
+"""A sample id that a later lot reuses for another request."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     "other", [sample(body=b"another prompt"), sample(model="n"), sample(path="/another")]
 )
 def test_a_sample_of_the_same_id_but_another_request_does_not_get_its_text(other):
-    """Text serves whatever names its id: neither the prompt nor the model is compared."""
+    """Kept text was returned for any sample of the same id, without comparing prompt and model."""
     table = RunTable(Clock().now)
     table.slots, table.accepting = 1, True
     table.submit((order("a", sample=sample(), model="m"),))
     run = table.next_start()
     for number in range(3):
-        table.add_event(run, run.life, f"text-{number}", 1)
-    table.finish(run, run.life, RunOutcome.WHOLE)
+        table.add_event(run, run.generation, f"text-{number}", 1)
+    table.finish(run, run.generation, RunOutcome.WHOLE)
     model = dict(other.headers)["X-Model"]
     table.submit((order("a", sample=other, model=model),))
     updates, _ = table.collect({"a": 0}, 0.0, lambda: None)
--- a/tests/runner/test_runs.py
+++ b/tests/runner/test_runs.py
@@ -1,4 +1,4 @@
-"""The samples of a sidecar."""
+"""The run table of a sidecar."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from threadramp.core.lot_book import RunOutcome
 from threadramp.lots.model import Sample
-from threadramp.runner.runs import QUIET_S, RunTable
+from threadramp.runner.runs import STALL_TIMEOUT_S, RunTable
 from threadramp.wire.runner import RunOrder
 
 
@@ -39,28 +39,28 @@
     return [run for run in iter(table.next_start, None)]
 
 
-def news(table: RunTable, **have: int):
+def collect_updates(table: RunTable, **have: int):
     return table.collect(have, 0.0, lambda: True)
 
 
 def test_samples_are_taken_while_there_is_room(table):
     taken = table.submit(tuple(order(name) for name in "abcdef"))
-    assert list(taken) == ["a", "b", "c", "d"]  # two slots and two that wait
+    assert list(taken) == ["a", "b", "c", "d"]  # two slots and two queued
     assert taken["a"] == "chain of a"
 
 
-def test_an_engine_that_is_not_ready_takes_and_starts_nothing(table):
+def test_an_engine_that_is_not_ready_accepts_and_starts_nothing(table):
     table.submit((order("a"),))
     table.accepting = False
     assert table.submit((order("b"),)) == {}
     assert table.next_start() is None
 
 
-def test_a_sample_that_was_dropped_on_its_way_to_the_engine_is_not_tried_again(table, clock):
-    """It was still tried, and began more than 3 s after the end of its lot (UNASKED)."""
+def test_a_sample_that_was_dropped_while_being_sent_is_not_retried(table, clock):
+    """It was still retried, and began more than 3 s after the end of its lot (UNASKED)."""
     (run,) = begin(table, order("a"))
     table.drop({"a": 0}, let_finish=True)
-    table.put_back(run, run.life)  # the engine rejected it
+    table.requeue(run, run.generation)  # the engine rejected it
     clock.at += 60.0
     assert table.next_start() is None
     assert run.outcome is RunOutcome.CUT
@@ -68,10 +68,10 @@
 
 def test_while_a_model_is_loaded_samples_of_other_models_start(table):
     table.submit((order("a", model="m"), order("b", model="other")))
-    table.loading = "m"
+    table.loading_model = "m"
     assert [run.order.sample.id for run in iter(table.next_start, None)] == ["b"]
     assert table.submit((order("c", model="m"), order("d", model="other"))).keys() == {"d"}
-    table.loading = ""
+    table.loading_model = ""
     assert table.next_start().order.sample.id == "a"
 
 
@@ -80,83 +80,83 @@
     assert [table.next_start().order.sample.id for _ in range(2)] == ["long", "short"]
 
 
-def test_news_are_the_events_behind_those_that_the_asker_has(table):
+def test_an_update_has_the_events_after_those_that_the_gateway_has(table):
     (run,) = begin(table, order("a"))
-    table.add_event(run, run.life, "x", 1)
-    table.add_event(run, run.life, "y", 2)
-    (update,), unknown = news(table, a=1)
+    table.add_event(run, run.generation, "x", 1)
+    table.add_event(run, run.generation, "y", 2)
+    (update,), unknown = collect_updates(table, a=1)
     assert (update.base, update.events, update.versions) == (1, ("y",), (2,))
     assert (update.outcome, unknown) == ("", [])
-    table.finish(run, run.life, RunOutcome.WHOLE)
-    (update,), _ = news(table, a=2)
+    table.finish(run, run.generation, RunOutcome.WHOLE)
+    (update,), _ = collect_updates(table, a=2)
     assert (update.events, update.outcome) == ((), "whole")
 
 
-def test_what_is_not_here_is_unknown(table):
+def test_samples_without_a_matching_run_are_unknown(table):
     begin(table, order("b", after=3, lineage="L"))
-    assert news(table, a=0, b=2) == ([], ["a", "b"])
+    assert collect_updates(table, a=0, b=2) == ([], ["a", "b"])
 
 
-def test_a_cut_run_goes_on_behind_its_own_events(table):
+def test_a_cut_run_resumes_after_its_own_events(table):
     (run,) = begin(table, order("a"))
-    table.add_event(run, run.life, "x", 1)
-    table.finish(run, run.life, RunOutcome.CUT)
+    table.add_event(run, run.generation, "x", 1)
+    table.finish(run, run.generation, RunOutcome.CUT)
     taken = table.submit((order("a", after=1, lineage="chain of a"),))
     assert taken == {"a": "chain of a"}
     again = table.next_start()
-    assert (again.base, again.count) == (0, 1)
-    assert not table.add_event(again, again.life - 1, "late", 1)  # of the thread before
+    assert (again.base, again.event_count) == (0, 1)
+    assert not table.add_event(again, again.generation - 1, "late", 1)  # of the previous thread
 
 
-def test_another_chain_of_events_is_begun_anew(table):
+def test_a_sample_of_another_lineage_starts_over(table):
     (run,) = begin(table, order("a"))
-    table.add_event(run, run.life, "x", 1)
+    table.add_event(run, run.generation, "x", 1)
     taken = table.submit((order("a", after=1, lineage="another", new_lineage="new"),))
     assert taken == {"a": "new"}
-    assert table.next_start().count == 1
-    assert not table.add_event(run, run.life, "y", 1)
+    assert table.next_start().event_count == 1
+    assert not table.add_event(run, run.generation, "y", 1)
 
 
-def test_text_that_is_too_old_is_begun_anew(table):
+def test_a_sample_whose_text_is_too_old_starts_over(table):
     (run,) = begin(table, order("a"))
-    table.add_event(run, run.life, "x", 1)
+    table.add_event(run, run.generation, "x", 1)
     table.submit((order("a", min_version=2, new_lineage="new"),))
-    assert table.next_start().count == 0
+    assert table.next_start().event_count == 0
 
 
-def test_samples_of_an_ended_lot_finish_but_make_room(table):
+def test_samples_of_an_ended_lot_may_finish_but_yield_their_slots(table):
     begin(table, order("a"), order("b"))
     table.drop({"a": 0, "b": 0}, let_finish=True)
     assert table.taken == 0
     (run,) = begin(table, order("c"))
     assert run.order.sample.id == "c"
     still_open = [name for name, one in table.runs.items() if one.is_open]
-    assert len(still_open) == 2  # one of the unwanted had to go
+    assert len(still_open) == 2  # one of the unwanted was cut
 
 
-def test_dropped_samples_tell_their_last_events(table):
+def test_dropped_samples_return_their_last_events(table):
     (run,) = begin(table, order("a"))
     cancelled = []
     run.cancel = lambda: cancelled.append(True)
-    table.add_event(run, run.life, "x", 1)
+    table.add_event(run, run.generation, "x", 1)
     table.drop({"a": 0}, let_finish=False)
-    (update,), _ = news(table, a=0)
+    (update,), _ = collect_updates(table, a=0)
     assert (update.events, update.outcome, cancelled) == (("x",), "cut", [True])
 
 
-def test_samples_whose_gateway_is_silent_are_cut(table, clock):
+def test_samples_whose_gateway_is_unresponsive_are_cut(table, clock):
     begin(table, order("a"), order("b"))
     clock.at += 0.9
-    news(table, a=0)
+    collect_updates(table, a=0)
     clock.at += 0.2
-    assert table.cut_silent() == ["b"]
+    assert table.cut_abandoned() == ["b"]
 
 
 def test_a_sample_that_the_engine_did_not_begin_waits_longer_each_time(table, clock):
     (run,) = begin(table, order("a"))
     pauses = []
     for _ in range(6):
-        table.put_back(run, run.life)
+        table.requeue(run, run.generation)
         assert table.next_start() is None
         pauses.append(round(run.not_before - clock.at, 2))
         clock.at = run.not_before
@@ -166,60 +166,60 @@
 
 def test_only_fresh_text_from_the_start_is_found(table):
     first, second = begin(table, order("a"), order("b", after=4, lineage="L"))
-    table.add_event(first, first.life, "x", 2)
-    table.add_event(second, second.life, "y", 2)
+    table.add_event(first, first.generation, "x", 2)
+    table.add_event(second, second.generation, "y", 2)
     assert table.find(("a", "b", "c"), 2) == {"a": 1}
     assert table.find(("a",), 3) == {}
 
 
-def test_text_is_forgotten_after_a_while(table, clock):
+def test_text_is_deleted_after_a_while(table, clock):
     (run,) = begin(table, order("a"))
-    table.finish(run, run.life, RunOutcome.WHOLE)
+    table.finish(run, run.generation, RunOutcome.WHOLE)
     clock.at += 46.0
     table.submit(())
     assert table.runs == {}
 
 
-def test_runs_that_bring_nothing_begin_anew_behind_their_last_event(table, clock):
-    quiet, lively = begin(table, order("a"), order("b"))
+def test_stalled_runs_are_restarted_after_their_last_event(table, clock):
+    stalled, active = begin(table, order("a"), order("b"))
     closed = []
-    quiet.cancel = lambda: closed.append("a")
-    table.add_event(quiet, quiet.life, "one", 1)
-    clock.at += QUIET_S + 0.1
-    table.add_event(lively, lively.life, "one", 1)
-    before = quiet.life
-    assert table.begin_anew() == ["a"]
+    stalled.cancel = lambda: closed.append("a")
+    table.add_event(stalled, stalled.generation, "one", 1)
+    clock.at += STALL_TIMEOUT_S + 0.1
+    table.add_event(active, active.generation, "one", 1)
+    before = stalled.generation
+    assert table.restart_stalled() == ["a"]
     assert closed == ["a"]
-    assert not table.add_event(quiet, before, "late", 1)  # of the thread before
-    assert not table.finish(quiet, before, RunOutcome.CUT)
-    assert table.next_start() is quiet
-    assert quiet.count == 1
-    assert table.begin_anew() == []
+    assert not table.add_event(stalled, before, "late", 1)  # of the previous thread
+    assert not table.finish(stalled, before, RunOutcome.CUT)
+    assert table.next_start() is stalled
+    assert stalled.event_count == 1
+    assert table.restart_stalled() == []
 
 
-def test_a_run_whose_lot_has_ended_is_not_begun_anew(table, clock):
+def test_a_stalled_run_whose_lot_has_ended_is_not_restarted(table, clock):
     """It would reach the engine after the end of its lot (UNASKED)."""
     (run,) = begin(table, order("a"))
     table.drop({"a": 0}, let_finish=True)
-    clock.at += QUIET_S + 0.1
-    table.begin_anew()
+    clock.at += STALL_TIMEOUT_S + 0.1
+    table.restart_stalled()
     assert run.outcome is RunOutcome.CUT
     assert table.next_start() is None
 
 
-def test_a_run_that_was_cut_ends_nothing_once_its_sample_goes_on(table):
-    """The part of a text that was there counted as the whole of it.
+def test_the_thread_of_a_cut_run_does_not_end_its_resumed_sample(table):
+    """A partial text counted as complete.
 
-    Found by reading. How it comes about: a run is cut, which closes its connection; its sample
-    comes again and goes on; only then its thread reads the end of a stream that has no length and
-    looks complete. Proof: without the mend the sample is whole with one event.
+    A run is cut, which closes its connection, and its sample is submitted again and resumed. Only
+    then does the previous thread read the end of the stream, which has no length and so looks
+    complete. The sample was then whole with one event.
     """
     (run,) = begin(table, order("a"))
-    life = run.life
-    table.add_event(run, life, "1", 1)
+    generation = run.generation
+    table.add_event(run, generation, "1", 1)
     table.drop({"a": 1}, let_finish=False)
     table.submit((order("a"),))
     assert run.is_open
-    assert not table.add_event(run, life, "2", 1)
-    assert not table.finish(run, life, RunOutcome.WHOLE)
+    assert not table.add_event(run, generation, "2", 1)
+    assert not table.finish(run, generation, RunOutcome.WHOLE)
     assert run.is_open
--- a/tests/runner/test_sample_run.py
+++ b/tests/runner/test_sample_run.py
@@ -1,4 +1,4 @@
-"""One sample at an engine that answers twice: whose answer it takes."""
+"""Which response a sample accepts from an engine that sends duplicates."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 @pytest.fixture
 def run_one(own_engine, table, monkeypatch):
-    # Whose text a sample takes does not hang on how soon the stand-in answers.
-    monkeypatch.setattr(sample_run, "HEAD_S", 1.0)
+    # The result must not depend on how fast the stand-in answers.
+    monkeypatch.setattr(sample_run, "HEAD_TIMEOUT_S", 1.0)
 
     def run(name: str):
         sample = Sample(name, "/p", (("X-Model", "m"),), b"q", 100, "g", None, 10)
@@ -46,9 +46,9 @@
 
 @pytest.mark.parametrize("second", list(Second))
 @pytest.mark.parametrize("moment", list(Moment))
-def test_a_sample_takes_its_own_text_or_none(front, run_one, second, moment):
-    """A second answer that came after the next sample was sent was taken for its text."""
-    front.stutter = Stutter(second, moment)
+def test_a_sample_accepts_its_own_text_or_none(proxy, run_one, second, moment):
+    """A duplicate that arrived after the next sample was sent was taken for its text."""
+    proxy.stutter = Stutter(second, moment)
     assert run_one("a").events == own_text("a")
     for name in "bcd":
         run = run_one(name)
@@ -56,16 +56,16 @@
         assert run.events == own_text(name)[: len(run.events)]
 
 
-def test_a_sample_that_comes_back_does_not_take_its_text_of_before(front, table, run_one):
-    """Its second copy names the right sample; under a newer version it is to be made anew."""
-    front.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT)
+def test_a_resubmitted_sample_does_not_accept_its_previous_text(proxy, table, run_one):
+    """The duplicate has the right request id, but may be of an older weight version."""
+    proxy.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT)
     run_one("a")
     table.runs.clear()
     run_one("a")
-    assert front.opened == 2
+    assert proxy.opened == 2
 
 
-def test_samples_use_a_connection_again(front, run_one):
+def test_samples_reuse_a_connection(proxy, run_one):
     for name in "abc":
         assert run_one(name).outcome is RunOutcome.WHOLE
-    assert front.opened == 1
+    assert proxy.opened == 1
--- a/tests/runner/test_sidecar.py
+++ b/tests/runner/test_sidecar.py
@@ -15,29 +15,29 @@
 from threadramp.lots.model import Sample
 from threadramp.report.metrics import Metrics
 from threadramp.runner.engine import Engine
-from threadramp.runner.runs import QUIET_S, RunTable
+from threadramp.runner.runs import STALL_TIMEOUT_S, RunTable
 from threadramp.runner.sidecar import Sidecar
 
 
-class LateThread:
-    """A thread that was made and does not run yet."""
+class DelayedThread:
+    """A thread that was created and does not run yet."""
 
-    made: list[LateThread] = []
+    made: list[DelayedThread] = []
 
-    def __init__(self, target, args=(), **how) -> None:
+    def __init__(self, target, args=(), **options) -> None:
         self.run = lambda: target(*args)
-        LateThread.made.append(self)
+        DelayedThread.made.append(self)
 
     def start(self) -> None:
         return
 
 
 @pytest.fixture
-def late_threads(monkeypatch) -> list[LateThread]:
-    monkeypatch.setattr(LateThread, "made", [])
-    stub = SimpleNamespace(Thread=LateThread, Event=threading.Event)
+def delayed_threads(monkeypatch) -> list[DelayedThread]:
+    monkeypatch.setattr(DelayedThread, "made", [])
+    stub = SimpleNamespace(Thread=DelayedThread, Event=threading.Event)
     monkeypatch.setattr(sidecar_module, "threading", stub)
-    return LateThread.made
+    return DelayedThread.made
 
 
 @pytest.fixture
@@ -49,10 +49,10 @@
 
 
 @pytest.fixture
-def starting(engine_address, table, late_threads):
-    """A sidecar that starts samples in threads which stand still."""
+def running_sidecar(engine_address, table, delayed_threads):
+    """A sidecar whose sample threads do not run until a test runs them."""
     engine = Engine(engine_address, "p", "box-1", Clock())
-    engine.learn(facts())
+    engine.update_facts(facts())
     sidecar = Sidecar(None, engine, None, table, None, Clock(), Metrics("t"))
     loop = threading.Thread(target=sidecar._start_loop, daemon=True)
     loop.start()
@@ -68,20 +68,20 @@
         time.sleep(0.01)
 
 
-def test_a_thread_that_stood_still_brings_nothing_once_its_sample_was_begun_anew(
-    starting, table, clock, engine, late_threads
+def test_a_delayed_thread_does_nothing_once_its_sample_was_restarted(
+    running_sidecar, table, clock, engine, delayed_threads
 ):
-    """It took itself for the one that was started last, so two streams made one text.
+    """A delayed thread read the generation of the restarted run and ran the sample as well.
 
-    Found by reading. Proof: without the mend the first thread runs the sample as well.
+    The events of two streams were then mixed in one text.
     """
     sample = Sample("a", "/p", (("X-Model", "m"),), b"q", 100, "g", None, 10)
     table.submit((order("a", sample=sample),))
-    wait_until(lambda: len(late_threads) == 1)
-    clock.at += 2 * QUIET_S
-    assert table.begin_anew() == ["a"]
-    wait_until(lambda: len(late_threads) == 2)
-    first, second = late_threads
+    wait_until(lambda: len(delayed_threads) == 1)
+    clock.at += 2 * STALL_TIMEOUT_S
+    assert table.restart_stalled() == ["a"]
+    wait_until(lambda: len(delayed_threads) == 2)
+    first, second = delayed_threads
     first.run()
     assert engine.runs == []
     second.run()
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -347,7 +347,7 @@
     ),
     Removal.of_one(
         "the wait of the next holder",
-        "another_holder_has_a_higher_number_and_waits",
+        "another_holder_has_a_higher_token_and_waits",
         RIGHTS,
         "first_use_at = self.clock.now() + self.hand_over_s",
         "first_use_at = 0.0",
@@ -356,22 +356,20 @@
         "the store's word for each order",
         "sidecar_that_stood_still_does_not_order",
         (
-            Edit(WEIGHTS, "self.right.proven_number()", "self.right.usable_number()"),
-            Edit(
-                WEIGHTS, "report.orders, self.right.still_proven)", "report.orders, lambda: True)"
-            ),
+            Edit(WEIGHTS, "self.lock.proven_number()", "self.lock.usable_number()"),
+            Edit(WEIGHTS, "report.orders, self.lock.still_proven)", "report.orders, lambda: True)"),
         ),
     ),
     Removal.of_one(
         "the look at the proof before an order's bytes",
-        "order_is_not_sent_if_its_proof_got_old",
+        "order_is_not_sent_if_its_verification_expires",
         LATE_BYTES,
         "    if not may_send():\n",
         "    if False:\n",
     ),
     Removal.of_one(
         "the age of the store's word",
-        "answer_that_lay_here_proves_nothing",
+        "store_response_that_is_processed_late_verifies_nothing",
         RIGHTS,
         "and self.shown_ago_s() <= PROVEN_S",
         "",
@@ -385,7 +383,7 @@
     ),
     Removal.of_one(
         "the wait from when a take-over is found",
-        "store_does_late_is_waited_for",
+        "late_takeover_write_is_waited_for",
         RIGHTS,
         "found.revision, held, asked_at",
         "found.revision, HeldRight(held.holder, False), asked_at",
