--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -26,7 +26,7 @@
 from threadramp.fleet.organisations import Organisation, Organisations, digest
 from threadramp.fleet.picture import Belief, Member
 from threadramp.platform.documents import read_configuration
-from threadramp.policy.crash_book import SUSPECTS_MOST, CrashBook
+from threadramp.policy.crash_tracker import MAX_SUSPECTS, CrashTracker
 from threadramp.policy.fingerprint import fingerprint
 from threadramp.policy.placement import LeastLoaded
 from threadramp.policy.subset import gateway_subset
@@ -283,30 +283,35 @@
         body = bytes(size)
         cost = processor_ms(lambda: fingerprint("h", "POST", "/a", "c", body), 20)  # noqa: B023
         report("fingerprint of a body, processor", size, cost, "ms")
-    for suspects in (0, 250, 1000, SUSPECTS_MOST):
+    for suspects in (0, 250, 1000, MAX_SUSPECTS):
         book = crash_book(suspects)
 
-        def rule(at: CrashBook = book) -> None:
-            at.ruling(b"another-request0", CRASHED_AT)
+        def rule(at: CrashTracker = book) -> None:
+            at.assess(b"another-request0", CRASHED_AT)
 
-        def end(at: CrashBook = book) -> None:
-            at.crashed(b"another-request0", Start("i"), CRASHED_AT)
+        def end(at: CrashTracker = book) -> None:
+            at.record_crash(b"another-request0", Start("i"), CRASHED_AT)
 
-        def build(count: int = suspects) -> CrashBook:
+        def build(count: int = suspects) -> CrashTracker:
             return crash_book(count)
 
         report("ruling on a request, processor", suspects, processor_ms(rule, 2000), "ms")
         report("one more end, processor", suspects, processor_ms(end, 20), "ms")
         report("suspects in memory", suspects, allocated_kb(build), "KB")
-        report("part in the store", suspects, len(msgspec.msgpack.encode(book.to_keep())), "bytes")
+        report(
+            "part in the store",
+            suspects,
+            len(msgspec.msgpack.encode(book.records_to_persist())),
+            "bytes",
+        )
 
 
-def crash_book(suspects: int) -> CrashBook:
+def crash_book(suspects: int) -> CrashTracker:
     """Return a book with requests under which two endpoints ended each."""
-    book = CrashBook()
+    book = CrashTracker()
     for number in range(suspects):
         for start in (f"i-{number % 50}", f"i-{number % 50 + 50}"):
-            book.crashed(number.to_bytes(16, "big"), Start(start, 1), CRASHED_AT)
+            book.record_crash(number.to_bytes(16, "big"), Start(start, 1), CRASHED_AT)
     return book
 
 
--- a/src/threadramp/edge/attempts.py
+++ b/src/threadramp/edge/attempts.py
@@ -13,7 +13,7 @@
 from threadramp.edge.tries import Tries
 from threadramp.platform.headers import to_endpoint
 from threadramp.policy.connection_share import idle_share
-from threadramp.policy.crash_book import CrashBook, Ruling, Verdict
+from threadramp.policy.crash_tracker import Assessment, CrashTracker, SuspicionLevel
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         self.budget = budget
         self.clock = clock
         self.counting = counting
-        self.guard = guard or CrashGuard(CrashBook(), clock, picture)
+        self.guard = guard or CrashGuard(CrashTracker(), clock, picture)
 
     def forget_gone(self) -> None:
         """Drop what is kept of starts that are not listed any more."""
@@ -97,8 +97,8 @@
         if self.caller_has_left():
             return Outcome(Ending.CALLER_GONE)
         admitted = self.holding.admit()
-        if admitted.verdict is Verdict.REFUSED:
-            return Outcome(Ending.NOT_RUN, retry_after_s=admitted.again_s)
+        if admitted.level is SuspicionLevel.REFUSED:
+            return Outcome(Ending.NOT_RUN, retry_after_s=admitted.retry_after_s)
         self.parts.budget.first_attempt()
         try:
             while True:
@@ -109,7 +109,7 @@
             self.close_all()
             self.holding.leave()
 
-    def ruling(self) -> Ruling:
+    def ruling(self) -> Assessment:
         """Return what holds for the request now."""
         return self.holding.ruling(has_run=bool(self.tries.ran))
 
@@ -157,8 +157,8 @@
     def _held_back(self) -> Outcome | None:
         """Return how it ends if too many endpoints ended under it; none if it may go on."""
         ruling = self.ruling()
-        if ruling.verdict is Verdict.REFUSED or len(self.tries.ended) >= ENDED_MOST:
-            return self.given_up(Ending.NOT_RUN, ruling.again_s)
+        if ruling.level is SuspicionLevel.REFUSED or len(self.tries.ended) >= ENDED_MOST:
+            return self.given_up(Ending.NOT_RUN, ruling.retry_after_s)
         return None
 
     def _nobody_left(self) -> Outcome:
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -18,9 +18,9 @@
 from threadramp.edge.end_watch import EndWatch
 from threadramp.edge.endpoint_probe import EndpointState, look_at
 from threadramp.edge.signs import Breaking, Look, timed_look
-from threadramp.policy.crash_book import FREE, Ruling, Verdict
-from threadramp.policy.fingerprint import shown
-from threadramp.policy.hidden_ends import Break, may_have_ended
+from threadramp.policy.crash_tracker import NO_SUSPICION, Assessment, SuspicionLevel
+from threadramp.policy.fingerprint import short_fingerprint
+from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_ended
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Endpoint, Start
     from threadramp.fleet.picture import Picture
-    from threadramp.policy.crash_book import CrashBook
+    from threadramp.policy.crash_tracker import CrashTracker
 
 LOOKED_S = 0.2  # all requests of an endpoint break at once; one look serves them
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        book: CrashBook,
+        book: CrashTracker,
         clock: Clock,
         picture: Picture,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
@@ -65,44 +65,44 @@
         self.apart: set[Start] = set()
         self.lock = threading.Lock()
 
-    def ruling(self, fingerprint: Callable[[], bytes]) -> Ruling:
+    def ruling(self, fingerprint: Callable[[], bytes]) -> Assessment:
         """Return what holds for a request.
 
         :param fingerprint: works out what stands for it
         """
         if self.book.is_empty:
-            return FREE
-        return self.book.ruling(fingerprint(), self.clock.time_of_day())
+            return NO_SUSPICION
+        return self.book.assess(fingerprint(), self.clock.time_of_day())
 
-    def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Ruling:
+    def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Assessment:
         """Return what holds for a request that is to be sent; a refused one may get a trial.
 
         :param name: the request's id or the sample's
         """
         ruling = self.ruling(fingerprint)
-        if ruling.verdict is not Verdict.REFUSED:
+        if ruling.level is not SuspicionLevel.REFUSED:
             return ruling
         key = fingerprint()
         now = self.clock.time_of_day()
         if ruling.trial and self.claim(key, ruling.trial):
-            self.book.tried(key, ruling.trial, now)
+            self.book.record_trial(key, ruling.trial, now)
             self.count("crash", "trial")
             log_state(
                 "trial_of_refused",
                 request=name,
-                fingerprint=shown(key),
+                fingerprint=short_fingerprint(key),
                 trial=ruling.trial,
                 crashes=ruling.crashes,
             )
-            return Ruling(Verdict.APART, ruling.crashes, ruling.trial)
-        self.book.came_again(key, now)
+            return Assessment(SuspicionLevel.ISOLATED, ruling.crashes, ruling.trial)
+        self.book.record_repeat(key, now)
         self.count("crash", "refused")
         log_state(
             "refused_after_crashes",
             request=name,
-            fingerprint=shown(key),
+            fingerprint=short_fingerprint(key),
             crashes=ruling.crashes,
-            again_s=round(ruling.again_s, 1),
+            again_s=round(ruling.retry_after_s, 1),
         )
         return ruling
 
@@ -111,7 +111,7 @@
 
         :returns: whether the endpoint has ended, as far as can be seen now
         """
-        start = self.book.current(endpoint.start)
+        start = self.book.current_incarnation(endpoint.start)
         beside = signs.open_there() - signs.own
         with self.breaking.looked_at(endpoint.start, signs):
             look = self._look_at(endpoint)
@@ -120,7 +120,7 @@
         log_state(
             "connection_broken",
             request=job.request_id,
-            fingerprint=shown(job.fingerprint),
+            fingerprint=short_fingerprint(job.fingerprint),
             instance=endpoint.instance,
             endpoint=look.state.value,
             beside=beside,
@@ -141,15 +141,15 @@
 
         :param listens: whether its port goes on taking connections, so that it only may have ended
         """
-        ruling = self.book.crashed(fingerprint, start, self.clock.time_of_day(), listens)
+        ruling = self.book.record_crash(fingerprint, start, self.clock.time_of_day(), listens)
         self.count("crash", "seen")
         log_state(
             "endpoint_ended",
             request=name,
-            fingerprint=shown(fingerprint),
+            fingerprint=short_fingerprint(fingerprint),
             instance=start.instance,
             crashes=ruling.crashes,
-            verdict=ruling.verdict.value,
+            verdict=ruling.level.value,
             listens=listens,
         )
 
@@ -159,12 +159,12 @@
         if self.book.is_empty:
             return
         now = self.clock.time_of_day()
-        if self.book.lives(self.book.current(start), now):
+        if self.book.record_answer(self.book.current_incarnation(start), now):
             log_state("endpoint_lives", instance=start.instance)
         key = fingerprint()
-        if self.book.ran_well(key, now):
+        if self.book.record_success(key, now):
             self.count("crash", "acquitted")
-            log_state("acquitted", fingerprint=shown(key), instance=start.instance)
+            log_state("acquitted", fingerprint=short_fingerprint(key), instance=start.instance)
 
     def taken(self) -> set[Start]:
         """Return the endpoints that have a request which goes apart from other suspects."""
@@ -184,15 +184,15 @@
         with self.lock:
             self.apart.discard(start)
 
-    def _break_of(self, endpoint: Endpoint, signs: Signs, look: Look) -> Break:
+    def _break_of(self, endpoint: Endpoint, signs: Signs, look: Look) -> ConnectionBreak:
         """Return what tells whether an endpoint may have ended that breaks new connections."""
         sent_at = self.clock.time_of_day() - signs.lived_s - look.took_s
-        return Break(
+        return ConnectionBreak(
             signs.lived_s,
             look.took_s,
             signs.kept,
             self.breaking.others_go_on(endpoint.start, signs),
-            self.book.ended_before(self.book.current(endpoint.start), sent_at),
+            self.book.is_reported_ended(self.book.current_incarnation(endpoint.start), sent_at),
         )
 
     def _look_at(self, endpoint: Endpoint) -> Look:
--- a/src/threadramp/edge/end_watch.py
+++ b/src/threadramp/edge/end_watch.py
@@ -7,7 +7,12 @@
 from typing import TYPE_CHECKING
 
 from threadramp.edge.endpoint_probe import born_at
-from threadramp.policy.hidden_ends import ENTRY_DELAY_S, Settlement, looks, settlement
+from threadramp.policy.proxied_crashes import (
+    ENTRY_DELAY_S,
+    CrashResolution,
+    probe_delays,
+    resolve_crash,
+)
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -15,7 +20,7 @@
 
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Start
-    from threadramp.policy.crash_book import CrashBook
+    from threadramp.policy.crash_tracker import CrashTracker
 
 WATCHED_MOST = 64  # endpoints at once, each with a thread
 AFTER_S = 0.001
@@ -31,7 +36,7 @@
 
     def __init__(
         self,
-        book: CrashBook,
+        book: CrashTracker,
         clock: Clock,
         ask: Callable[[str], int | None] = born_at,
         pause: Callable[[float], None] = time.sleep,
@@ -68,15 +73,15 @@
         finally:
             with self.lock:
                 held = self.held.pop(start)
-        if found is Settlement.ENDED:
+        if found is CrashResolution.ENDED:
             for fingerprint, at in held.items():
                 if told:
-                    self.book.proven(fingerprint, start, at, told)
+                    self.book.confirm_crash(fingerprint, start, at, told)
                 else:  # its id is not used again, so that no answer takes this back
-                    self.book.crashed(fingerprint, start, at)
+                    self.book.record_crash(fingerprint, start, at)
             log_state("end_proven", instance=start.instance, born=start.born, next_born=told)
-        elif found is Settlement.LIVES:
-            self.book.lived_on(start, self._after(held), told)
+        elif found is CrashResolution.ALIVE:
+            self.book.retract_crash(start, self._after(held), told)
             log_state("endpoint_lives", instance=start.instance, born=told)
         else:
             log_state("end_not_settled", instance=start.instance, born=start.born)
@@ -85,23 +90,23 @@
         """Return the time now, after all that is held also where the time of day was put back."""
         return max(self.clock.time_of_day(), max(held.values()) + AFTER_S)
 
-    def _look_until_settled(self, start: Start, address: str) -> tuple[Settlement, int]:
+    def _look_until_settled(self, start: Start, address: str) -> tuple[CrashResolution, int]:
         broke_at = self.clock.time_of_day()
         answered_s = None  # seconds since it first answered without a birth
-        for pause_s in looks():
+        for pause_s in probe_delays():
             self.pause(pause_s)
             told = self.ask(address)
             if self.is_replaced(start, address):
-                return Settlement.ENDED, told or 0
+                return CrashResolution.ENDED, told or 0
             if told == 0 or (told is None and answered_s is not None):
                 answered_s = 0.0 if answered_s is None else answered_s + pause_s
                 if answered_s >= ENTRY_DELAY_S:
-                    return Settlement.LIVES, 0
+                    return CrashResolution.ALIVE, 0
                 continue
-            found = settlement(start.born, told, broke_at)
-            if found is not Settlement.OPEN:
+            found = resolve_crash(start.born, told, broke_at)
+            if found is not CrashResolution.PENDING:
                 return found, told or 0
-        return Settlement.OPEN, 0
+        return CrashResolution.PENDING, 0
 
 
 __all__ = ["EndWatch"]
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -9,7 +9,7 @@
 from threadramp.edge.exchange import ExchangeError
 from threadramp.edge.job import Ending, Outcome, has_ended
 from threadramp.platform.headers import read_answer
-from threadramp.policy.crash_book import Verdict
+from threadramp.policy.crash_tracker import SuspicionLevel
 from threadramp.policy.endpoint_choice import SECOND_AFTER
 from threadramp.report.log import log_state
 
@@ -85,7 +85,7 @@
         late = len(tries.open) == 1 and self.now() >= self.second_at
         if not late or not self.job.route.may_repeat:
             return
-        if self.ruling().verdict is not Verdict.FREE:
+        if self.ruling().level is not SuspicionLevel.NONE:
             return  # it may end another endpoint beside the first
         self.second_at = self.job.until  # asked once
         chosen = self._for_second_try(tries.open[0])
--- a/src/threadramp/edge/holding.py
+++ b/src/threadramp/edge/holding.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.policy.crash_book import FREE, Ruling, Verdict
+from threadramp.policy.crash_tracker import NO_SUSPICION, Assessment, SuspicionLevel
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Set
@@ -20,7 +20,7 @@
     def __init__(self, guard: CrashGuard, job: Job) -> None:
         self.guard = guard
         self.job = job
-        self.admitted = FREE
+        self.admitted = NO_SUSPICION
         self.place: Start | None = None
         self.waits = False
 
@@ -28,12 +28,12 @@
         """Return what stands for the request, whatever its id."""
         return self.job.fingerprint
 
-    def admit(self) -> Ruling:
+    def admit(self) -> Assessment:
         """Return whether the request may be sent at all; a refused one may get a trial."""
         self.admitted = self.guard.admit(self.job.request_id, self.fingerprint)
         return self.admitted
 
-    def ruling(self, has_run: bool) -> Ruling:
+    def ruling(self, has_run: bool) -> Assessment:
         """Return what holds now; endpoints may have ended under it meanwhile.
 
         :param has_run: whether it was begun since it was admitted; a trial is begun once
@@ -47,7 +47,7 @@
         self.guard.answered(self.fingerprint, start)
 
     def choose(
-        self, pick: Callable[[Set[Start]], Endpoint | None], ruling: Ruling, is_last: bool
+        self, pick: Callable[[Set[Start]], Endpoint | None], ruling: Assessment, is_last: bool
     ) -> Endpoint | None:
         """Return where the request goes, none if others have to leave first.
 
@@ -59,7 +59,7 @@
         """
         self.leave()
         self.waits = False
-        if ruling.verdict is not Verdict.APART or is_last:
+        if ruling.level is not SuspicionLevel.ISOLATED or is_last:
             return pick(frozenset())
         taken = self.guard.taken()
         while (chosen := pick(taken)) is not None:
--- a/src/threadramp/fleet/crash_sharing.py
+++ b/src/threadramp/fleet/crash_sharing.py
@@ -23,8 +23,8 @@
     StoreError,
     Transaction,
 )
-from threadramp.policy.crash_book import KEPT_S
-from threadramp.policy.fingerprint import shown
+from threadramp.policy.crash_tracker import RETENTION_S
+from threadramp.policy.fingerprint import short_fingerprint
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
 from threadramp.wire.crashes import CrashNews
@@ -35,7 +35,7 @@
     from threadramp.fleet.peers import Peers
     from threadramp.fleet.store_health import StoreHealth
     from threadramp.platform.store import StoreClient
-    from threadramp.policy.crash_book import CrashBook
+    from threadramp.policy.crash_tracker import CrashTracker
     from threadramp.wire.crashes import Suspect
     from threadramp.wire.fleet import Acquit
 
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        book: CrashBook,
+        book: CrashTracker,
         peers: Peers,
         store: StoreClient,
         health: StoreHealth,
@@ -77,7 +77,7 @@
         self.read: dict[str, int] = {}
         self.woken = threading.Event()
         self.stopped = threading.Event()
-        book.on_news = self.woken.set
+        book.on_update = self.woken.set
         peers.picture.members.listeners.append(self.read_kept)
 
     def start(self) -> None:
@@ -92,7 +92,9 @@
     def acquit(self, ask: Acquit) -> Believed:
         """Let a request go on, at all gateways, because an operator says so."""
         found = self.book.find(ask.request)
-        done = found is not None and self.book.ran_well(found.fingerprint, self.clock.time_of_day())
+        done = found is not None and self.book.record_success(
+            found.fingerprint, self.clock.time_of_day()
+        )
         log_state("acquitted_by_operator", fingerprint=ask.request, done=done)
         told = "acquitted" if done else "nothing is held against it"
         return Believed((Fact("request", told, "an operator", None),))
@@ -109,23 +111,25 @@
             put = Put(key, encode(self.peers.member.name), self._granted())
             answer = self.store.transact(Transaction(expected={key: ABSENT}, puts=(put,)))
         except StoreError as error:
-            log_state("trial_not_claimed", fingerprint=shown(fingerprint), error=str(error))
+            log_state(
+                "trial_not_claimed", fingerprint=short_fingerprint(fingerprint), error=str(error)
+            )
             return False
         if isinstance(answer, Committed):
             return True
         if isinstance(answer, LeaseGone):
             self.lease = 0
         else:  # another one has it
-            self.book.tried(fingerprint, trial, self.clock.time_of_day())
+            self.book.record_trial(fingerprint, trial, self.clock.time_of_day())
         return False
 
     def turn(self) -> None:
         """Tell what is new, and keep what has to outlast this process."""
         self.book.expire(self.clock.time_of_day())
-        news = self.book.take_news()
+        news = self.book.take_updates()
         if news and not self._tell(news):
             self.untaken |= {one.fingerprint: one for one in news.suspects}
-        wanted = self.book.to_keep()
+        wanted = self.book.records_to_persist()
         if self.untaken or wanted.suspects != self.kept.suspects:
             self._keep(wanted)
 
@@ -144,7 +148,7 @@
                 continue
             self._merge(news, key.removeprefix(CRASHES_PREFIX))
             if key == self.key:
-                self.book.was_own(news)
+                self.book.restore_own(news)
 
     def _check_listed(self, is_listed: bool) -> None:
         """Write this box's part again where the store has lost it; its lease may be taken away."""
@@ -164,7 +168,9 @@
 
     def _merge(self, news: CrashNews, source: str) -> None:
         for fingerprint in self.book.merge(news, self.clock.time_of_day()):
-            log_state("refused_from_now", fingerprint=shown(fingerprint), told_by=source)
+            log_state(
+                "refused_from_now", fingerprint=short_fingerprint(fingerprint), told_by=source
+            )
 
     def _tell(self, news: CrashNews) -> bool:
         """Tell the other gateways; true if all of them took it."""
@@ -198,8 +204,8 @@
         :raises StoreError: if no answer came
         """
         now = self.clock.now()
-        if not self.lease or now - self.leased_at > KEPT_S / 2:
-            self.lease = self.store.grant_lease(KEPT_S)
+        if not self.lease or now - self.leased_at > RETENTION_S / 2:
+            self.lease = self.store.grant_lease(RETENTION_S)
             self.leased_at = now
         return self.lease
 
--- a/src/threadramp/gateway/crashing_calls.py
+++ b/src/threadramp/gateway/crashing_calls.py
@@ -11,8 +11,8 @@
 
 from threadramp.fleet.clock import Clock
 from threadramp.fleet.model import Start
-from threadramp.policy.crash_book import CrashBook, Verdict
-from threadramp.policy.fingerprint import fingerprint, shown
+from threadramp.policy.crash_tracker import CrashTracker, SuspicionLevel
+from threadramp.policy.fingerprint import fingerprint, short_fingerprint
 from threadramp.report.log import log_state
 from threadramp.wire.outcomes import Reason, Refusal, RefusedError
 
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
-        self.book = CrashBook()
+        self.book = CrashTracker()
         self.clock = clock or Clock()
 
     def admit(self, request: CallerRequest) -> None:
@@ -44,17 +44,19 @@
             return
         key = _fingerprint(request)
         now = self.clock.time_of_day()
-        ruling = self.book.ruling(key, now)
-        if ruling.verdict is not Verdict.REFUSED:
+        ruling = self.book.assess(key, now)
+        if ruling.level is not SuspicionLevel.REFUSED:
             return
         if ruling.trial:
-            self.book.tried(key, ruling.trial, now)
-            log_state("trial_of_refused", fingerprint=shown(key), trial=ruling.trial)
+            self.book.record_trial(key, ruling.trial, now)
+            log_state("trial_of_refused", fingerprint=short_fingerprint(key), trial=ruling.trial)
             return
-        self.book.came_again(key, now)
-        log_state("refused_after_crashes", fingerprint=shown(key), crashes=ruling.crashes)
+        self.book.record_repeat(key, now)
+        log_state(
+            "refused_after_crashes", fingerprint=short_fingerprint(key), crashes=ruling.crashes
+        )
         message = f"{ruling.crashes} endpoints ended under it, one after the other"
-        raise RefusedError(Refusal.not_run(Reason.HELD_BACK, message, ceil(ruling.again_s)))
+        raise RefusedError(Refusal.not_run(Reason.HELD_BACK, message, ceil(ruling.retry_after_s)))
 
     def ended(self, request: CallerRequest, endpoint: str) -> bool:
         """Note that an endpoint ended under a call; each end is of another start.
@@ -63,15 +65,15 @@
         """
         key = _fingerprint(request)
         now = self.clock.time_of_day()
-        ruling = self.book.crashed(key, Start(endpoint, int(now * MS_PER_S)), now)
+        ruling = self.book.record_crash(key, Start(endpoint, int(now * MS_PER_S)), now)
         log_state(
             "endpoint_ended",
-            fingerprint=shown(key),
+            fingerprint=short_fingerprint(key),
             endpoint=endpoint,
             crashes=ruling.crashes,
-            verdict=ruling.verdict.value,
+            verdict=ruling.level.value,
         )
-        return ruling.verdict is Verdict.REFUSED
+        return ruling.level is SuspicionLevel.REFUSED
 
     def answered(self, request: CallerRequest) -> None:
         """Note an answer after which its endpoint lives on."""
@@ -79,7 +81,7 @@
             return
         now = self.clock.time_of_day()
         self.book.expire(now)
-        self.book.ran_well(_fingerprint(request), now)
+        self.book.record_success(_fingerprint(request), now)
 
 
 def _fingerprint(request: CallerRequest) -> bytes:
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -9,7 +9,7 @@
 
 from threadramp.core.lot_book import Phase, RunOutcome
 from threadramp.platform.headers import caller_of
-from threadramp.policy.crash_book import Verdict
+from threadramp.policy.crash_tracker import SuspicionLevel
 from threadramp.policy.fingerprint import fingerprint
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from threadramp.fleet.model import Start
     from threadramp.lots.model import Lot, Sample
     from threadramp.lots.owned import OwnedLot, OwnedLots
-    from threadramp.policy.crash_book import Ruling
+    from threadramp.policy.crash_tracker import Assessment
     from threadramp.policy.sample_placement import RunnerView
 
 HOLD_MOST_S = 5.0  # before a refused sample is looked at again; each look writes a line
@@ -50,7 +50,7 @@
     def may_go_on(self, lot: OwnedLot, sample: str) -> bool:
         """Return whether a sample may run anywhere, beside whatever runs there."""
         ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
-        return ruling.verdict in (Verdict.FREE, Verdict.SUSPECTED)
+        return ruling.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED)
 
     def open_to(
         self, lot: OwnedLot, sample: str, views: Sequence[RunnerView]
@@ -60,7 +60,7 @@
         Where all have one it goes beside it: a sample takes seconds, and its step waits for it.
         """
         ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
-        if ruling.verdict in (Verdict.FREE, Verdict.SUSPECTED):
+        if ruling.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED):
             return views
         taken = self._taken()
         return [view for view in views if view.member.name not in taken] or views
@@ -68,16 +68,16 @@
     def admit(self, lot: OwnedLot, sample: str, runner: str, now: float) -> bool:
         """Return whether a sample may go to a runner now; one that may not is put off."""
         ruling = self.guard.admit(sample, lambda: self._fingerprint(lot, sample))
-        if ruling.verdict is Verdict.REFUSED:
+        if ruling.level is SuspicionLevel.REFUSED:
             self._put_off(lot, sample, ruling, now)
             return False
-        if ruling.verdict is Verdict.APART:
+        if ruling.level is SuspicionLevel.ISOLATED:
             self.apart[runner] = (lot, sample)
         return True
 
-    def _put_off(self, lot: OwnedLot, sample: str, ruling: Ruling, now: float) -> None:
+    def _put_off(self, lot: OwnedLot, sample: str, ruling: Assessment, now: float) -> None:
         with self.owned.lock:
-            lot.book.put_off(sample, now + min(HOLD_MOST_S, ruling.again_s))
+            lot.book.put_off(sample, now + min(HOLD_MOST_S, ruling.retry_after_s))
 
     def _taken(self) -> set[str]:
         """Return the runners at which a suspect runs that goes apart from others."""
--- a/src/threadramp/policy/crash_book.py
+++ b/src/threadramp/policy/crash_tracker.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from threadramp.policy.hidden_ends import Births
+from threadramp.policy.proxied_crashes import StartTimes
 from threadramp.wire.crashes import Crash, CrashNews, Living, Suspect
 
 if TYPE_CHECKING:
@@ -29,67 +29,67 @@
 
 # Beside one that crashes endpoints an innocent stands in one crash often, in two where both are
 # tried again at the same endpoint; from then on it is sent where no other suspect is.
-APART_FROM = 2
-REFUSED_FROM = 3  # the users allow three endpoints before it must be known
+ISOLATE_FROM_CRASHES = 2
+REFUSE_FROM_CRASHES = 3  # the users allow three endpoints before it must be known
 # Trials of a refused request, by all boxes together, by seconds after its last crash: endpoints are
 # back after 1 to 3 s. The users allow three more endpoints in all; one is left for a gateway that
 # did not know in time.
-TRIALS_AFTER_S = (3.0, 60.0)
-KEPT_S = 600.0  # after it was last seen; the store's longest lease
-LIVES_AFTER_S = 2.0  # an answer may have been on its way for so long when its endpoint ended
+TRIAL_DELAYS_S = (3.0, 60.0)
+RETENTION_S = 600.0  # after it was last seen; the store's longest lease
+LATE_ANSWER_S = 2.0  # an answer may have been on its way for so long when its endpoint ended
 # Behind a port that goes on listening the next start answers under the same id, so an answer tells
 # little; the box that saw the break settles it within this, unless that box is lost.
-SETTLED_WITHIN_S = 10.0
-SUSPECTS_MOST = 2048  # 1.5 MB; an endpoint ends with up to 12 open requests, and its queue
-LIVING_MOST = 512
-CRASHES_KEPT = 8  # of one request
-TO_KEEP_MOST = 512  # requests that one process keeps in the store: 100 KB at most
-AGAIN_LEAST_S = 1.0  # told with a refusal; the trial that is due may be another box's
-AHEAD_MOST_S = 5.0  # clocks of boxes differ by less; what is told from the future counts as now
+RESOLVED_WITHIN_S = 10.0
+MAX_SUSPECTS = 2048  # 1.5 MB; an endpoint ends with up to 12 open requests, and its queue
+MAX_ALIVE = 512
+MAX_CRASHES_PER_REQUEST = 8  # of one request
+MAX_PERSISTED = 512  # requests that one process keeps in the store: 100 KB at most
+MIN_RETRY_AFTER_S = 1.0  # told with a refusal; the trial that is due may be another box's
+MAX_CLOCK_AHEAD_S = 5.0  # clocks of boxes differ by less; later times count as now
 
 
-class Verdict(Enum):
+class SuspicionLevel(Enum):
     """What a request may do."""
 
-    FREE = "free"
+    NONE = "free"
     SUSPECTED = "suspected"
-    APART = "apart"
+    ISOLATED = "apart"
     REFUSED = "refused"
 
 
 @dataclass(frozen=True)
-class Ruling:
+class Assessment:
     """What holds for one request now.
 
     :param crashes: endpoints that ended under it without an answer since
     :param trial: number of the trial that is due now, 0 if none is
-    :param again_s: seconds until a trial is due, or until it is forgotten; 0 if it is not refused
+    :param retry_after_s: until a trial is due, or until it is forgotten; 0 if it is not refused
     """
 
-    verdict: Verdict = Verdict.FREE
+    level: SuspicionLevel = SuspicionLevel.NONE
     crashes: int = 0
     trial: int = 0
-    again_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
-FREE = Ruling()
+NO_SUSPICION = Assessment()
 
 
-class CrashBook:
+class CrashTracker:
     """What one process knows; its methods may be called from any thread.
 
-    :param on_news: called when there is something to tell others
+    :param on_update: called when there is something to tell others
     """
 
-    def __init__(self, on_news: Callable[[], None] = lambda: None) -> None:
-        self.on_news = on_news
+    def __init__(self, on_update: Callable[[], None] = lambda: None) -> None:
+        self.on_update = on_update
         self.suspects: OrderedDict[bytes, Suspect] = OrderedDict()
         self.living: OrderedDict[Start, float] = OrderedDict()
         self.untold: dict[bytes, None] = {}
         self.untold_living: dict[Start, None] = {}
         self.own: set[bytes] = set()
         self.accused: set[Start] = set()
-        self.births = Births()
+        self.births = StartTimes()
         self.lock = threading.RLock()
 
     @property
@@ -97,14 +97,14 @@
         """Return whether no request is suspected; nothing is worked out for requests then."""
         return not self.suspects
 
-    def ruling(self, fingerprint: bytes, now: float) -> Ruling:
+    def assess(self, fingerprint: bytes, now: float) -> Assessment:
         """Return what holds for a request."""
         with self.lock:
             return _ruling(self.suspects.get(fingerprint), now)
 
-    def crashed(
+    def record_crash(
         self, fingerprint: bytes, start: Start, now: float, listens: bool = False
-    ) -> Ruling:
+    ) -> Assessment:
         """Note that a start ended while a request was open there.
 
         :param listens: whether its port goes on taking connections, so that it only may have ended
@@ -114,23 +114,23 @@
             self._add_own(seen)
             return _ruling(self.suspects.get(fingerprint), now)
 
-    def proven(self, fingerprint: bytes, start: Start, at: float, next_born: int) -> None:
+    def confirm_crash(self, fingerprint: bytes, start: Start, at: float, next_born: int) -> None:
         """Note that another start came after one that broke under a request."""
         with self.lock:
             crash = Crash(start, at, True, next_born)
             self._add_own(Suspect(fingerprint, (crash,), seen_at=at))
 
-    def current(self, start: Start) -> Start:
+    def current_incarnation(self, start: Start) -> Start:
         """Return the start that is current where an entry names one; entries may stay behind."""
         with self.lock:
             return self.births.current(start)
 
-    def ended_before(self, start: Start, at: float) -> bool:
+    def is_reported_ended(self, start: Start, at: float) -> bool:
         """Return whether a start is said to have ended before a time."""
         with self.lock:
             return start in self.accused and bool(self._accusing(start, at))
 
-    def ran_well(self, fingerprint: bytes, now: float) -> bool:
+    def record_success(self, fingerprint: bytes, now: float) -> bool:
         """Note an answer after which its endpoint lived on; false if nothing stood against it."""
         with self.lock:
             known = self.suspects.get(fingerprint)
@@ -139,28 +139,28 @@
             self._add_own(Suspect(fingerprint, well_at=now, seen_at=now))
             return True
 
-    def tried(self, fingerprint: bytes, trial: int, now: float) -> None:
+    def record_trial(self, fingerprint: bytes, trial: int, now: float) -> None:
         """Note that a trial of a refused request is made."""
         with self.lock:
             self._add_own(Suspect(fingerprint, trials=trial, seen_at=now))
 
-    def came_again(self, fingerprint: bytes, now: float) -> None:
+    def record_repeat(self, fingerprint: bytes, now: float) -> None:
         """Note that a refused request came again, so that it is not forgotten while it does."""
         with self.lock:
             known = self.suspects.get(fingerprint)
-            if known is not None and now - known.seen_at > KEPT_S / 2:
+            if known is not None and now - known.seen_at > RETENTION_S / 2:
                 self._add_own(Suspect(fingerprint, seen_at=now))
 
-    def lives(self, start: Start, now: float) -> bool:
+    def record_answer(self, start: Start, now: float) -> bool:
         """Note that a start answered; true if it was said to have ended well before."""
         with self.lock:
             if start not in self.accused or not self._is_taken_back(start, now):
                 return False
             self._note_living(start, now)
-        self.on_news()
+        self.on_update()
         return True
 
-    def lived_on(self, start: Start, now: float, born: int) -> None:
+    def retract_crash(self, start: Start, now: float, born: int) -> None:
         """Note that a start that may have ended told its birth, and is the same one.
 
         :param born: 0 if it tells none
@@ -168,7 +168,7 @@
         with self.lock:
             self.births.note(start.instance, born)
             self._note_living(start, now)
-        self.on_news()
+        self.on_update()
 
     def merge(self, news: CrashNews, now: float) -> list[bytes]:
         """Take over what another process knows; returns the requests that are refused by it."""
@@ -181,7 +181,7 @@
             after = [one.fingerprint for one in news.suspects if self._is_refused(one, now)]
         return [one for one in after if one not in before]
 
-    def take_news(self) -> CrashNews:
+    def take_updates(self) -> CrashNews:
         """Return what others were not told yet; it counts as told from then on."""
         with self.lock:
             suspects = tuple(self.suspects[one] for one in self.untold if one in self.suspects)
@@ -192,17 +192,17 @@
             self.untold_living.clear()
         return CrashNews(suspects, living)
 
-    def to_keep(self) -> CrashNews:
-        """Return what has to outlast this process: what it has a part in, and is near a verdict."""
+    def records_to_persist(self) -> CrashNews:
+        """Return what has to outlast this process: what it has a part in, and is near a level."""
         with self.lock:
             rows = [
                 one
                 for one in self.suspects.values()
-                if one.fingerprint in self.own and len(one.crashes) >= APART_FROM
+                if one.fingerprint in self.own and len(one.crashes) >= ISOLATE_FROM_CRASHES
             ]
-        return CrashNews(tuple(rows[-TO_KEEP_MOST:]))
+        return CrashNews(tuple(rows[-MAX_PERSISTED:]))
 
-    def was_own(self, news: CrashNews) -> None:
+    def restore_own(self, news: CrashNews) -> None:
         """Note that this box had a part in these before its process started again."""
         with self.lock:
             self.own.update(one.fingerprint for one in news.suspects)
@@ -235,7 +235,7 @@
     def _is_taken_back(self, start: Start, now: float) -> bool:
         """Return whether an answer of a start takes back that it ended."""
         return any(
-            crash.at < now - (SETTLED_WITHIN_S if crash.listens else LIVES_AFTER_S)
+            crash.at < now - (RESOLVED_WITHIN_S if crash.listens else LATE_ANSWER_S)
             for one in self.suspects.values()
             for crash in one.crashes
             if crash.start == start and not crash.is_proven
@@ -247,13 +247,13 @@
 
     def _is_refused(self, suspect: Suspect, now: float) -> bool:
         ruling = _ruling(self.suspects.get(suspect.fingerprint), now)
-        return ruling.verdict is Verdict.REFUSED
+        return ruling.level is SuspicionLevel.REFUSED
 
     def _add_own(self, seen: Suspect) -> None:
         self._add(seen)
         self.own.add(seen.fingerprint)
         self.untold[seen.fingerprint] = None
-        self.on_news()
+        self.on_update()
 
     def _add(self, seen: Suspect) -> None:
         known = self.suspects.get(seen.fingerprint, Suspect(seen.fingerprint))
@@ -271,20 +271,20 @@
         self.accused.update(one.start for one in live)
         self.suspects[seen.fingerprint] = Suspect(
             seen.fingerprint,
-            tuple(live[-CRASHES_KEPT:]),
+            tuple(live[-MAX_CRASHES_PER_REQUEST:]),
             max(known.well_at, seen.well_at),
             max(known.trials, seen.trials),
             max(known.seen_at, seen.seen_at),
         )
         self.suspects.move_to_end(seen.fingerprint)
-        if len(self.suspects) > SUSPECTS_MOST:
+        if len(self.suspects) > MAX_SUSPECTS:
             self._make_room()
 
     def _add_living(self, living: Living) -> None:
         """Take back what was held against requests for the end of a start that lives."""
         self.living[living.start] = max(living.at, self.living.get(living.start, 0.0))
         self.living.move_to_end(living.start)
-        while len(self.living) > LIVING_MOST:
+        while len(self.living) > MAX_ALIVE:
             self.living.popitem(last=False)
         for fingerprint in self._accusing(living.start, living.at):
             known = self.suspects[fingerprint]
@@ -302,28 +302,33 @@
         self.own.discard(fingerprint)
 
 
-def _ruling(known: Suspect | None, now: float) -> Ruling:
+def _ruling(known: Suspect | None, now: float) -> Assessment:
     if known is None or _is_old(known, now):
-        return FREE
+        return NO_SUSPICION
     standing = known.standing
     count = len(standing)
-    if count < REFUSED_FROM:
-        verdict = (Verdict.FREE, Verdict.SUSPECTED, Verdict.APART)[count]
-        return Ruling(verdict, count)
-    if known.trials >= len(TRIALS_AFTER_S):
-        return Ruling(Verdict.REFUSED, count, 0, max(AGAIN_LEAST_S, known.seen_at + KEPT_S - now))
-    due = max(one.at for one in standing) + TRIALS_AFTER_S[known.trials]
+    if count < REFUSE_FROM_CRASHES:
+        level = (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED, SuspicionLevel.ISOLATED)[count]
+        return Assessment(level, count)
+    if known.trials >= len(TRIAL_DELAYS_S):
+        return Assessment(
+            SuspicionLevel.REFUSED,
+            count,
+            0,
+            max(MIN_RETRY_AFTER_S, known.seen_at + RETENTION_S - now),
+        )
+    due = max(one.at for one in standing) + TRIAL_DELAYS_S[known.trials]
     trial = known.trials + 1 if now >= due else 0
-    return Ruling(Verdict.REFUSED, count, trial, max(AGAIN_LEAST_S, due - now))
+    return Assessment(SuspicionLevel.REFUSED, count, trial, max(MIN_RETRY_AFTER_S, due - now))
 
 
 def _is_old(known: Suspect, now: float) -> bool:
-    return now - known.seen_at > KEPT_S
+    return now - known.seen_at > RETENTION_S
 
 
 def _bounded(at: float, now: float) -> float:
     """Return a time that a sound clock may tell; what is none, such as NaN, is long ago."""
-    return min(at, now + AHEAD_MOST_S) if at >= 0 else 0.0
+    return min(at, now + MAX_CLOCK_AHEAD_S) if at >= 0 else 0.0
 
 
 def _all_bounded(suspect: Suspect, now: float) -> Suspect:
@@ -334,9 +339,17 @@
             msgspec.structs.replace(one, at=_bounded(one.at, now)) for one in suspect.crashes
         ),
         well_at=_bounded(suspect.well_at, now),
-        trials=min(suspect.trials, len(TRIALS_AFTER_S)),
+        trials=min(suspect.trials, len(TRIAL_DELAYS_S)),
         seen_at=_bounded(suspect.seen_at, now),
     )
 
 
-__all__ = ["APART_FROM", "FREE", "KEPT_S", "REFUSED_FROM", "CrashBook", "Ruling", "Verdict"]
+__all__ = [
+    "ISOLATE_FROM_CRASHES",
+    "NO_SUSPICION",
+    "REFUSE_FROM_CRASHES",
+    "RETENTION_S",
+    "Assessment",
+    "CrashTracker",
+    "SuspicionLevel",
+]
--- a/src/threadramp/policy/fingerprint.py
+++ b/src/threadramp/policy/fingerprint.py
@@ -28,9 +28,9 @@
     return digest.digest()
 
 
-def shown(of: bytes) -> str:
+def short_fingerprint(of: bytes) -> str:
     """Return a fingerprint as it stands in logs."""
     return of[:SHOWN_BYTES].hex()
 
 
-__all__ = ["fingerprint", "shown"]
+__all__ = ["fingerprint", "short_fingerprint"]
--- a/src/threadramp/policy/hidden_ends.py
+++ b/src/threadramp/policy/proxied_crashes.py
@@ -34,16 +34,16 @@
 MS_PER_S = 1000.0
 
 
-class Settlement(Enum):
+class CrashResolution(Enum):
     """What became of an endpoint that may have ended."""
 
     ENDED = "ended"
-    LIVES = "lives"
-    OPEN = "open"
+    ALIVE = "lives"
+    PENDING = "open"
 
 
 @dataclass(frozen=True)
-class Break:
+class ConnectionBreak:
     """An endpoint that broke a connection while it owed an answer, and breaks new ones as well.
 
     :param lived_s: seconds from the sending of the request until the break
@@ -66,12 +66,12 @@
         return self.kept or self.lived_s >= self.look_s + BEGUN_S
 
 
-def may_have_ended(seen: Break) -> bool:
+def may_have_ended(seen: ConnectionBreak) -> bool:
     """Return whether the break is held against the request until it is settled."""
     return seen.was_begun and not seen.others_go_on and not seen.known_before
 
 
-def settlement(known: int, told: int | None, broke_at: float = float("inf")) -> Settlement:
+def resolve_crash(known: int, told: int | None, broke_at: float = float("inf")) -> CrashResolution:
     """Return what became of an endpoint that may have ended.
 
     :param known: birth of the start that may have ended, 0 if it is not known
@@ -79,18 +79,18 @@
     :param broke_at: when it broke, in seconds since the epoch
     """
     if told is None or 0 < told < known:  # the older one can not come from after the break
-        return Settlement.OPEN
+        return CrashResolution.PENDING
     if not known and told / MS_PER_S > broke_at - CLOCK_SKEW_S:
-        return Settlement.ENDED
-    return Settlement.ENDED if 0 < known < told else Settlement.LIVES
+        return CrashResolution.ENDED
+    return CrashResolution.ENDED if 0 < known < told else CrashResolution.ALIVE
 
 
-def looks() -> Iterator[float]:
+def probe_delays() -> Iterator[float]:
     """Yield the pauses before each look at an endpoint that may have ended."""
     return chain(LOOKS_S, LATER_LOOKS_S)
 
 
-class Births:
+class StartTimes:
     """The newest births that are known of endpoints whose entries do not tell them."""
 
     def __init__(self) -> None:
@@ -112,10 +112,10 @@
 
 __all__ = [
     "ENTRY_DELAY_S",
-    "Births",
-    "Break",
-    "Settlement",
-    "looks",
+    "StartTimes",
+    "ConnectionBreak",
+    "CrashResolution",
+    "probe_delays",
     "may_have_ended",
-    "settlement",
+    "resolve_crash",
 ]
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -172,11 +172,11 @@
         if found is None:
             yield Fact("request", "nothing is held against it", "crash book", None)
             return
-        ruling = book.ruling(found.fingerprint, now)
-        yield Fact("verdict", ruling.verdict.value, "crash book", round(now - found.seen_at, 2))
+        ruling = book.assess(found.fingerprint, now)
+        yield Fact("verdict", ruling.level.value, "crash book", round(now - found.seen_at, 2))
         yield Fact("trials made", str(found.trials), "crash book", None)
-        if ruling.again_s:
-            yield Fact("next trial or end in s", f"{ruling.again_s:.1f}", "crash book", None)
+        if ruling.retry_after_s:
+            yield Fact("next trial or end in s", f"{ruling.retry_after_s:.1f}", "crash book", None)
         for crash in found.standing:
             yield Fact(
                 "endpoint ended", crash.start.instance, "crash book", round(now - crash.at, 2)
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -42,7 +42,7 @@
 from threadramp.lots.scoring import Scoring
 from threadramp.platform.duty_calls import DutyCalls
 from threadramp.platform.store import StoreClient
-from threadramp.policy.crash_book import CrashBook
+from threadramp.policy.crash_tracker import CrashTracker
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.listing import LISTINGS
 from threadramp.policy.retries import RetryBudget
@@ -157,7 +157,7 @@
         self.watchers = self._new_watchers(store, health, clock)
         store.on_silence.append(self._note_silence)
         self.emptying = Emptying(self.member.name, self.picture, store)
-        book = CrashBook()
+        book = CrashTracker()
         self.crashes = CrashSharing(book, self.peers, store, health, clock, self.member.name)
         self.guard = CrashGuard(book, clock, self.picture, self.crashes.claim, self.metrics.count)
         self.true_time = TrueTime(clock)
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -20,7 +20,7 @@
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind, Start
 from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.crashing import CrashingEndpoint
-from threadramp.policy.crash_book import TRIALS_AFTER_S, Verdict
+from threadramp.policy.crash_tracker import TRIAL_DELAYS_S, SuspicionLevel
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.fingerprint import fingerprint
 from threadramp.policy.retries import RetryBudget
@@ -57,8 +57,8 @@
     def crashes(self) -> int:
         return sum(len(one.crashed_at) for one in self.standins)
 
-    def verdict(self, target="/crashes") -> Verdict:
-        return self.guard.ruling(lambda: _fingerprint(target)).verdict
+    def verdict(self, target="/crashes") -> SuspicionLevel:
+        return self.guard.ruling(lambda: _fingerprint(target)).level
 
 
 def _fingerprint(target: str) -> bytes:
@@ -86,7 +86,7 @@
     outcome = crowd.run()
     assert (outcome.ending, crowd.crashes) == (Ending.NOT_RUN, 3)
     assert steady_s() - started < 0.05
-    assert 0 < outcome.retry_after_s <= TRIALS_AFTER_S[0]
+    assert 0 < outcome.retry_after_s <= TRIAL_DELAYS_S[0]
 
 
 def test_no_second_endpoint_is_asked_beside_the_first_once_one_has_ended(crowd):
@@ -109,7 +109,7 @@
     assert crowd.forwarder.connections.idle
     crowd.run()
     assert crowd.crashes == 2
-    assert crowd.verdict() is Verdict.APART
+    assert crowd.verdict() is SuspicionLevel.ISOLATED
 
 
 def test_a_connection_that_is_cut_is_held_against_nobody(crowd):
@@ -150,7 +150,7 @@
     for thread in threads:
         thread.join()
     assert sum(one.ending is Ending.ANSWERED for one in found) >= 11
-    answered = [n for n in range(12) if crowd.verdict(f"/calm/{n}") is Verdict.FREE]
+    answered = [n for n in range(12) if crowd.verdict(f"/calm/{n}") is SuspicionLevel.NONE]
     assert len(answered) >= 11
 
 
@@ -158,20 +158,20 @@
     crowd.run()
     crowd.run()
     clock = crowd.guard.clock
-    crowd.guard.clock = Later(clock, TRIALS_AFTER_S[0])
+    crowd.guard.clock = Later(clock, TRIAL_DELAYS_S[0])
     crowd.run()
-    assert (crowd.crashes, crowd.verdict()) == (4, Verdict.REFUSED)
+    assert (crowd.crashes, crowd.verdict()) == (4, SuspicionLevel.REFUSED)
     for one in crowd.standins:
         one.mended = True
-    crowd.guard.clock = Later(clock, sum(TRIALS_AFTER_S) + 1.0)
+    crowd.guard.clock = Later(clock, sum(TRIAL_DELAYS_S) + 1.0)
     assert crowd.run().ending is Ending.ANSWERED
-    assert crowd.verdict() is Verdict.FREE
+    assert crowd.verdict() is SuspicionLevel.NONE
 
 
 def test_a_trial_is_begun_once_also_where_its_connection_is_cut(crowd):
     crowd.run()
     crowd.run()
-    crowd.guard.clock = Later(crowd.guard.clock, TRIALS_AFTER_S[0])
+    crowd.guard.clock = Later(crowd.guard.clock, TRIAL_DELAYS_S[0])
     for one in crowd.standins:
         one.crash = one.cut  # it lives on
     begun = sum(len(one.begun) for one in crowd.standins)
@@ -194,19 +194,19 @@
         one.engine.faults["hold_s"] = 0.0
     for one in crowd.standins[:2]:
         crowd.guard.ended_under("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
-    assert crowd.verdict("/calm") is Verdict.APART
+    assert crowd.verdict("/calm") is SuspicionLevel.ISOLATED
     for one in crowd.standins:
         assert crowd.guard.take_place(Start(one.instance))
     assert crowd.run("/calm").ending is Ending.ANSWERED
     assert pauses == [REJECTED_PAUSE_S] * REJECTED_ROUNDS
-    assert crowd.verdict("/calm") is Verdict.FREE
+    assert crowd.verdict("/calm") is SuspicionLevel.NONE
 
 
 def test_a_refused_request_whose_trial_another_box_has_is_not_sent(crowd):
     crowd.run()
     crowd.run()
     crowd.guard.claim = lambda fingerprint, trial: False
-    crowd.guard.clock = Later(crowd.guard.clock, TRIALS_AFTER_S[0])
+    crowd.guard.clock = Later(crowd.guard.clock, TRIAL_DELAYS_S[0])
     begun = sum(len(one.begun) for one in crowd.standins)
     assert crowd.run().ending is Ending.NOT_RUN
     assert sum(len(one.begun) for one in crowd.standins) == begun
@@ -224,7 +224,7 @@
 
 
 def test_nothing_is_worked_out_for_requests_while_none_is_suspected(crowd):
-    crowd.guard.book.ruling = None  # it would fail
+    crowd.guard.book.assess = None  # it would fail
     assert crowd.run("/calm").ending is Ending.ANSWERED
 
 
--- a/tests/edge/test_end_watch.py
+++ b/tests/edge/test_end_watch.py
@@ -8,7 +8,7 @@
 
 from threadramp.edge.end_watch import WATCHED_MOST, EndWatch
 from threadramp.fleet.model import Start
-from threadramp.policy.crash_book import CrashBook, Verdict
+from threadramp.policy.crash_tracker import CrashTracker, SuspicionLevel
 
 BORN = 1_700_000_000_000
 ONE = b"one-request-0000"
@@ -38,13 +38,13 @@
 def settle(clock):
     """Hold a start's break against two requests, settle it, and return what came of it."""
 
-    def made(*answers: int | None, pace: float = 1.0) -> tuple[CrashBook, Asked]:
-        book, asked = CrashBook(), Asked(*answers)
+    def made(*answers: int | None, pace: float = 1.0) -> tuple[CrashTracker, Asked]:
+        book, asked = CrashTracker(), Asked(*answers)
         asked.pace = pace
         asked.clock = clock
         watch = EndWatch(book, clock, asked.ask, asked.pause)
         for fingerprint in (ONE, OTHER):
-            book.crashed(fingerprint, START, clock.time_of_day(), listens=True)
+            book.record_crash(fingerprint, START, clock.time_of_day(), listens=True)
         watch.held[START] = {ONE: clock.time_of_day(), OTHER: clock.time_of_day()}
         watch._settle(START, "127.0.0.1:1")
         assert not watch.held
@@ -56,7 +56,7 @@
 def test_another_birth_proves_the_end_under_all_that_were_there(settle, clock):
     book, asked = settle(None, None, BORN + 9)
     for fingerprint in (ONE, OTHER):
-        assert book.ruling(fingerprint, clock.time_of_day()).verdict is Verdict.SUSPECTED
+        assert book.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.SUSPECTED
     assert book.suspects[ONE].crashes[0].is_proven
     assert len(asked.pauses) == 3
 
@@ -67,25 +67,25 @@
     """Also where the time of day is put back meanwhile."""
     book, _ = settle(None, told, pace=pace)
     for fingerprint in (ONE, OTHER):
-        assert book.ruling(fingerprint, clock.time_of_day()).verdict is Verdict.FREE
+        assert book.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.NONE
 
 
 def test_a_start_that_was_replaced_has_ended_though_it_tells_no_birth(clock):
     """The next start answers under another id, which passed for the one before living on."""
-    book, asked = CrashBook(), Asked(0, 0, 0)
+    book, asked = CrashTracker(), Asked(0, 0, 0)
     asked.clock = clock
     start = Start("i-0")
     replaced_at = clock.now() + 1.0
     watch = EndWatch(
         book, clock, asked.ask, asked.pause, lambda one, address: clock.now() > replaced_at
     )
-    book.crashed(ONE, start, clock.time_of_day(), listens=True)
+    book.record_crash(ONE, start, clock.time_of_day(), listens=True)
     watch.held[start] = {ONE: clock.time_of_day()}
     watch._settle(start, "127.0.0.1:1")
     for seconds in (0.0, 60.0):
         clock.at += seconds
-        book.lives(Start("i-1"), clock.time_of_day())
-        assert book.ruling(ONE, clock.time_of_day()).crashes == 1
+        book.record_answer(Start("i-1"), clock.time_of_day())
+        assert book.assess(ONE, clock.time_of_day()).crashes == 1
 
 
 def test_a_birth_that_is_told_late_still_proves_the_end(settle, clock):
@@ -96,7 +96,7 @@
 
 def test_one_that_never_answers_is_given_up(settle, clock):
     book, asked = settle()
-    assert book.ruling(ONE, clock.time_of_day()).crashes == 1
+    assert book.assess(ONE, clock.time_of_day()).crashes == 1
     assert len(asked.pauses) <= 60
 
 
@@ -107,7 +107,7 @@
         seen.append(address)
         return BORN + 1
 
-    book = CrashBook()
+    book = CrashTracker()
     watch = EndWatch(book, clock, ask, lambda seconds: go_on.wait(5.0))
     for fingerprint in (ONE, OTHER):
         watch.watch(START, "127.0.0.1:1", fingerprint)
@@ -121,7 +121,7 @@
 
 def test_few_endpoints_are_watched_at_once(clock):
     go_on = threading.Event()
-    watch = EndWatch(CrashBook(), clock, lambda address: 0, lambda seconds: go_on.wait(5.0))
+    watch = EndWatch(CrashTracker(), clock, lambda address: 0, lambda seconds: go_on.wait(5.0))
     for number in range(WATCHED_MOST + 9):
         watch.watch(Start(f"i-{number}", BORN), "127.0.0.1:1", ONE)
     assert len(watch.held) == WATCHED_MOST
@@ -133,6 +133,6 @@
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(threading.Thread, "start", no_room)
-    watch = EndWatch(CrashBook(), clock)
+    watch = EndWatch(CrashTracker(), clock)
     watch.watch(START, "127.0.0.1:1", ONE)
     assert not watch.held
--- a/tests/edge/test_hidden_ends.py
+++ b/tests/edge/test_hidden_ends.py
@@ -17,7 +17,7 @@
 from threadramp.fleet.model import Endpoint
 from threadramp.fleet.picture import Belief
 from threadramp.platform.standins.crashing import CrashingEndpoint, FrontProxy, WhileDown
-from threadramp.policy.crash_book import Verdict
+from threadramp.policy.crash_tracker import SuspicionLevel
 
 COUNT = 6
 AWAY_S = 0.5
@@ -74,7 +74,7 @@
 def test_three_ends_are_held_against_it_before_the_endpoints_are_back(crowd):
     crowd.run()
     crowd.run()
-    assert (crowd.crashes, crowd.verdict()) == (3, Verdict.REFUSED)
+    assert (crowd.crashes, crowd.verdict()) == (3, SuspicionLevel.REFUSED)
     assert crowd.run().ending is Ending.NOT_RUN
 
 
@@ -84,7 +84,7 @@
     wait_for(lambda: not crowd.guard.ends.held, "all is settled", 3.0)
     for number in range(30):
         crowd.run(f"/calm/{number}")
-    assert crowd.verdict() is Verdict.REFUSED
+    assert crowd.verdict() is SuspicionLevel.REFUSED
     assert all(one.is_proven for one in crowd.guard.book.suspects[_fingerprint("/crashes")].crashes)
 
 
@@ -106,7 +106,7 @@
     crowd.standins[0].front = FrontProxy(WhileDown.REFUSES)
     for _ in range(3):
         crowd.run(attempts=1)
-        assert (crowd.crashes, crowd.verdict()) == (1, Verdict.SUSPECTED)
+        assert (crowd.crashes, crowd.verdict()) == (1, SuspicionLevel.SUSPECTED)
 
 
 def test_a_crash_on_a_kept_connection_is_none_that_was_dropped(crowd):
@@ -114,7 +114,7 @@
         crowd.run("/calm")
     assert crowd.forwarder.connections.idle
     crowd.run()
-    assert (crowd.crashes, crowd.verdict()) == (2, Verdict.APART)
+    assert (crowd.crashes, crowd.verdict()) == (2, SuspicionLevel.ISOLATED)
 
 
 def test_links_that_flap_convict_nobody(crowd):
@@ -151,7 +151,7 @@
         one.engine.faults["hold_s"] = 0.2
     many(crowd, "/calm", 24)
     verdicts = [crowd.verdict(f"/calm/{number}") for number in range(24)]
-    assert Verdict.REFUSED not in verdicts
+    assert SuspicionLevel.REFUSED not in verdicts
     for one in crowd.standins:
         one.most_open = None
     wait_for(lambda: not crowd.guard.ends.held, "all is settled", 3.0)
@@ -173,8 +173,8 @@
     time.sleep(0.05)
     for number in range(5):
         crowd.run(f"/calm/{number}", attempts=1)
-        assert crowd.verdict(f"/calm/{number}") is Verdict.FREE
-    assert crowd.verdict() is Verdict.SUSPECTED
+        assert crowd.verdict(f"/calm/{number}") is SuspicionLevel.NONE
+    assert crowd.verdict() is SuspicionLevel.SUSPECTED
 
 
 def test_one_that_stood_beside_is_served_and_acquitted(crowd):
@@ -188,5 +188,5 @@
     crowd.run(target_s=5.0)
     calm.join()
     assert sum(one.ending is Ending.ANSWERED for one in found) >= 11
-    free = [n for n in range(12) if crowd.verdict(f"/calm/{n}") is Verdict.FREE]
+    free = [n for n in range(12) if crowd.verdict(f"/calm/{n}") is SuspicionLevel.NONE]
     assert len(free) >= 11
--- a/tests/fleet/test_crash_sharing.py
+++ b/tests/fleet/test_crash_sharing.py
@@ -14,7 +14,7 @@
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.lots.model import encode
 from threadramp.platform.store import StoreClient
-from threadramp.policy.crash_book import FREE, CrashBook, Verdict
+from threadramp.policy.crash_tracker import NO_SUSPICION, CrashTracker, SuspicionLevel
 from threadramp.wire.fleet import Done, decode_ask
 
 ONE = b"one-request-0000"
@@ -49,7 +49,7 @@
     def __init__(self, name: str, boxes: dict[str, Box], store: str, clock) -> None:
         self.cut = False
         self.clock = clock
-        self.book = CrashBook()
+        self.book = CrashTracker()
         self.store = StoreClient(store, timeout_s=0.5)
         self.peers = Peers(name, boxes)
         self.health = StoreHealth(clock)
@@ -58,15 +58,15 @@
 
     def crash(self, *starts: int) -> None:
         for number in starts:
-            self.book.crashed(ONE, Start(f"i-{number}", 1), self.clock.time_of_day())
+            self.book.record_crash(ONE, Start(f"i-{number}", 1), self.clock.time_of_day())
         self.sharing.turn()
 
     def watch(self) -> None:
         self.peers.picture.members.replace(self.store.list(MEMBER_PREFIX), self.clock.now())
 
     @property
-    def verdict(self) -> Verdict:
-        return self.book.ruling(ONE, self.clock.time_of_day()).verdict
+    def verdict(self) -> SuspicionLevel:
+        return self.book.assess(ONE, self.clock.time_of_day()).level
 
 
 @pytest.fixture
@@ -80,7 +80,7 @@
 def test_three_boxes_that_saw_one_crash_each_refuse_together(boxes):
     for number, box in enumerate(boxes.values()):
         box.crash(number)
-    assert {box.verdict for box in boxes.values()} == {Verdict.REFUSED}
+    assert {box.verdict for box in boxes.values()} == {SuspicionLevel.REFUSED}
 
 
 def test_nothing_is_written_for_a_crash_that_all_were_told_of(boxes, platform_store):
@@ -94,16 +94,16 @@
     boxes["g2"].cut = True
     for number, name in enumerate(("g0", "g1", "g0")):
         boxes[name].crash(number)
-    assert boxes["g2"].verdict is Verdict.FREE
+    assert boxes["g2"].verdict is SuspicionLevel.NONE
     boxes["g2"].watch()
-    assert boxes["g2"].verdict is Verdict.REFUSED
+    assert boxes["g2"].verdict is SuspicionLevel.REFUSED
 
 
 def test_one_that_starts_later_refuses_at_once(boxes, store_address, clock):
     boxes["g1"].crash(0, 1, 2)
     late = Box("g9", boxes, store_address, clock)
     late.watch()
-    assert late.verdict is Verdict.REFUSED
+    assert late.verdict is SuspicionLevel.REFUSED
     assert late.peers.picture.belief.members == {}  # what is kept there is no member
 
 
@@ -111,18 +111,18 @@
     boxes["g0"].crash(0, 1, 2)
     again = Box("g0", boxes, store_address, clock)
     again.watch()
-    again.book.crashed(b"another-request0", Start("i-7", 1), clock.time_of_day())
-    again.book.crashed(b"another-request0", Start("i-8", 1), clock.time_of_day())
+    again.book.record_crash(b"another-request0", Start("i-7", 1), clock.time_of_day())
+    again.book.record_crash(b"another-request0", Start("i-8", 1), clock.time_of_day())
     again.sharing.turn()
     late = Box("g9", boxes, store_address, clock)
     late.watch()
-    assert late.verdict is Verdict.REFUSED
+    assert late.verdict is SuspicionLevel.REFUSED
 
 
 def test_what_the_store_does_not_take_is_written_once_it_does(boxes, platform_store):
     platform_store.faults["outage"] = True
     boxes["g0"].crash(0, 1, 2)
-    assert boxes["g1"].verdict is Verdict.REFUSED  # told by its peer
+    assert boxes["g1"].verdict is SuspicionLevel.REFUSED  # told by its peer
     assert boxes["g0"].sharing.pending
     platform_store.faults["outage"] = False
     boxes["g0"].sharing.turn()
@@ -167,8 +167,11 @@
     row = {"key": "member/.crashes/other", "value": b64encode(value).decode()}
     platform_store._commit({"puts": [row]})
     boxes["g1"].watch()
-    assert boxes["g1"].verdict is Verdict.REFUSED
-    assert boxes["g1"].book.ruling(b"another-request0", boxes["g1"].clock.time_of_day()) == FREE
+    assert boxes["g1"].verdict is SuspicionLevel.REFUSED
+    assert (
+        boxes["g1"].book.assess(b"another-request0", boxes["g1"].clock.time_of_day())
+        == NO_SUSPICION
+    )
 
 
 def test_it_is_known_everywhere_within_the_time_that_is_allowed(boxes):
@@ -176,10 +179,10 @@
     for box in boxes.values():
         box.sharing.start()
     started = time.monotonic()
-    boxes["g0"].book.crashed(ONE, Start("i-0"), boxes["g0"].clock.time_of_day())
-    boxes["g1"].book.crashed(ONE, Start("i-1"), boxes["g0"].clock.time_of_day())
-    boxes["g2"].book.crashed(ONE, Start("i-2"), boxes["g0"].clock.time_of_day())
-    while {box.verdict for box in boxes.values()} != {Verdict.REFUSED}:
+    boxes["g0"].book.record_crash(ONE, Start("i-0"), boxes["g0"].clock.time_of_day())
+    boxes["g1"].book.record_crash(ONE, Start("i-1"), boxes["g0"].clock.time_of_day())
+    boxes["g2"].book.record_crash(ONE, Start("i-2"), boxes["g0"].clock.time_of_day())
+    while {box.verdict for box in boxes.values()} != {SuspicionLevel.REFUSED}:
         assert time.monotonic() < started + CONTACT_S
         time.sleep(0.01)
     for box in boxes.values():
--- a/tests/gateway/test_crashing_calls.py
+++ b/tests/gateway/test_crashing_calls.py
@@ -6,7 +6,7 @@
 
 from threadramp.gateway.calls import CallerRequest
 from threadramp.gateway.crashing_calls import CALLER_HEADER, CallGuard
-from threadramp.policy.crash_book import TRIALS_AFTER_S
+from threadramp.policy.crash_tracker import TRIAL_DELAYS_S
 from threadramp.wire.outcomes import Outcome, Reason, RefusedError
 
 
@@ -27,7 +27,7 @@
         guard.admit(request())
     refusal = found.value.refusal
     assert (refusal.reason, refusal.outcome) == (Reason.HELD_BACK, Outcome.NOT_RUN)
-    assert 1 <= refusal.retry_after_s <= TRIALS_AFTER_S[0]
+    assert 1 <= refusal.retry_after_s <= TRIAL_DELAYS_S[0]
     assert refusal.status == 503
 
 
@@ -37,7 +37,7 @@
 
 
 def test_it_is_tried_again_some_time_after_and_an_answer_acquits_it(guard, clock):
-    clock.at += TRIALS_AFTER_S[0]
+    clock.at += TRIAL_DELAYS_S[0]
     guard.admit(request())
     with pytest.raises(RefusedError):  # the trial is one
         guard.admit(request())
@@ -47,6 +47,6 @@
 
 def test_nothing_is_worked_out_while_nothing_has_ended(clock):
     guard = CallGuard(clock)
-    guard.book.ruling = None  # it would fail
+    guard.book.assess = None  # it would fail
     guard.admit(request())
     guard.answered(request())
--- a/tests/policy/test_fingerprint.py
+++ b/tests/policy/test_fingerprint.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.policy.fingerprint import fingerprint, shown
+from threadramp.policy.fingerprint import fingerprint, short_fingerprint
 
 ONE = ("h.example", "POST", "/a/b?c=1", "caller one", b"body")
 
@@ -31,4 +31,4 @@
 
 
 def test_what_is_shown_is_short_and_tells_nothing_of_the_body():
-    assert len(shown(fingerprint(*ONE))) == 12
+    assert len(short_fingerprint(fingerprint(*ONE))) == 12
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -47,9 +47,9 @@
 LATE_BYTES = "src/threadramp/wire/late_bytes.py"
 RUNNER_ENGINE = "src/threadramp/runner/engine.py"
 TRUE_TIME = "src/threadramp/policy/true_time.py"
-CRASH_BOOK = "src/threadramp/policy/crash_book.py"
+CRASH_TRACKER = "src/threadramp/policy/crash_tracker.py"
 CRASH_SHARING = "src/threadramp/fleet/crash_sharing.py"
-HIDDEN_ENDS = "src/threadramp/policy/hidden_ends.py"
+PROXIED_CRASHES = "src/threadramp/policy/proxied_crashes.py"
 EXCHANGE = "src/threadramp/edge/exchange.py"
 ENDPOINT_PROBE = "src/threadramp/edge/endpoint_probe.py"
 WATCHER = "src/threadramp/fleet/watcher.py"
@@ -238,7 +238,7 @@
     Removal.of_one(
         "crashes held against the request",
         "crashes_endpoints_is_not_sent_on",
-        CRASH_BOOK,
+        CRASH_TRACKER,
         "    standing = known.standing\n",
         "    standing = known.standing[:2]\n",
     ),
@@ -259,7 +259,7 @@
     Removal.of_one(
         "a good answer acquits",
         "popular_request_that_stands_in",
-        CRASH_BOOK,
+        CRASH_TRACKER,
         "if known is None or not known.standing:",
         "if True:",
     ),
@@ -280,7 +280,7 @@
     Removal.of_one(
         "ends behind a port held against the request",
         "crashes_endpoints_behind_fronts_is_not_sent_on",
-        HIDDEN_ENDS,
+        PROXIED_CRASHES,
         "return seen.was_begun and not seen.others_go_on and not seen.known_before",
         "return False",
     ),
@@ -294,15 +294,15 @@
     Removal.of_one(
         "ends behind a port taken back by the same birth",
         "links_that_flap_convict_nobody",
-        HIDDEN_ENDS,
-        "Settlement.ENDED if 0 < known < told else Settlement.LIVES",
-        "Settlement.ENDED",
+        PROXIED_CRASHES,
+        "CrashResolution.ENDED if 0 < known < told else CrashResolution.ALIVE",
+        "CrashResolution.ENDED",
     ),
     Removal.of_one(
         "ends behind a port held against the sample",
         "sample_that_crashes_engines_behind_fronts",
         "src/threadramp/runner/engine_ends.py",
-        "return may_have_ended(Break(lived_s, found.took_s))",
+        "return may_have_ended(ConnectionBreak(lived_s, found.took_s))",
         "return False",
     ),
     Removal.of_one(
