--- a/src/threadramp/policy/crash_tracker.py
+++ b/src/threadramp/policy/crash_tracker.py
@@ -1,12 +1,13 @@
-"""Which requests are held back since endpoints ended under them, without I/O and without a clock.
+"""Tracks requests that may crash endpoints and decides which are refused; no I/O, no clock.
 
-A request that was open at an endpoint when that ended is suspected: alone, or one of all that stood
-there. Most are innocent, so it goes on; what convicts is that different starts ended under it, one
-after the other, and that it had no answer in between. One answer after which the endpoint lives on
-acquits. Every process may add what it saw in any order and more than once; the sum is the same.
+Every request that is open at an endpoint when the endpoint crashes becomes a suspect. Most suspects
+did not cause the crash, so they are retried. A request is refused once different incarnations
+crashed one after the other while running it, without a successful answer in between; one answer
+that the endpoint survives clears it. Processes may merge their observations in any order and more
+than once, with the same result.
 
-All times are seconds since the epoch: they are compared between boxes, and time for which a box was
-suspended counts.
+All times are seconds since the epoch, because they are compared between boxes and must include the
+time for which a box was suspended.
 """
 
 from __future__ import annotations
@@ -27,29 +28,30 @@
 
     from threadramp.fleet.model import Start
 
-# Beside one that crashes endpoints an innocent stands in one crash often, in two where both are
-# tried again at the same endpoint; from then on it is sent where no other suspect is.
+# A harmless request that runs beside a crashing one is often part of one crash, and of two if both
+# are retried at the same endpoint. From then on it is sent to endpoints without other suspects.
 ISOLATE_FROM_CRASHES = 2
-REFUSE_FROM_CRASHES = 3  # the users allow three endpoints before it must be known
-# Trials of a refused request, by all boxes together, by seconds after its last crash: endpoints are
-# back after 1 to 3 s. The users allow three more endpoints in all; one is left for a gateway that
-# did not know in time.
+REFUSE_FROM_CRASHES = 3  # requirement: recognised after at most three crashed endpoints
+# Trial runs of a refused request, over all boxes, in seconds after its last crash; endpoints are
+# back after 1 to 3 s. Requirement: at most three more crashed endpoints in total. Two trials leave
+# one for a gateway that learns of the refusal too late.
 TRIAL_DELAYS_S = (3.0, 60.0)
-RETENTION_S = 600.0  # after it was last seen; the store's longest lease
-LATE_ANSWER_S = 2.0  # an answer may have been on its way for so long when its endpoint ended
-# Behind a port that goes on listening the next start answers under the same id, so an answer tells
-# little; the box that saw the break settles it within this, unless that box is lost.
+RETENTION_S = 600.0  # after the last observation; equals the longest lease of the store
+LATE_ANSWER_S = 2.0  # an answer may arrive up to this long after its endpoint crashed
+# Behind a proxy that keeps listening, the next incarnation answers under the same id, so an answer
+# does not disprove a crash. The box that saw the connection break resolves the crash within this
+# time, unless that box is lost.
 RESOLVED_WITHIN_S = 10.0
-MAX_SUSPECTS = 2048  # 1.5 MB; an endpoint ends with up to 12 open requests, and its queue
+MAX_SUSPECTS = 2048  # 1.5 MB; a crash affects up to 12 running requests and those queued
 MAX_ALIVE = 512
-MAX_CRASHES_PER_REQUEST = 8  # of one request
-MAX_PERSISTED = 512  # requests that one process keeps in the store: 100 KB at most
-MIN_RETRY_AFTER_S = 1.0  # told with a refusal; the trial that is due may be another box's
-MAX_CLOCK_AHEAD_S = 5.0  # clocks of boxes differ by less; later times count as now
+MAX_CRASHES_PER_REQUEST = 8
+MAX_PERSISTED = 512  # suspects that one process persists in the store: up to 100 KB
+MIN_RETRY_AFTER_S = 1.0  # sent with a refusal; another box may make the trial that is due
+MAX_CLOCK_AHEAD_S = 5.0  # clocks of boxes differ by less; later times are clamped
 
 
 class SuspicionLevel(Enum):
-    """What a request may do."""
+    """How strongly a request is suspected, which decides how it is routed."""
 
     NONE = "free"
     SUSPECTED = "suspected"
@@ -59,11 +61,11 @@
 
 @dataclass(frozen=True)
 class Assessment:
-    """What holds for one request now.
+    """The current state of one request.
 
-    :param crashes: endpoints that ended under it without an answer since
-    :param trial: number of the trial that is due now, 0 if none is
-    :param retry_after_s: until a trial is due, or until it is forgotten; 0 if it is not refused
+    :param crashes: endpoints that crashed while running it, without a successful answer since
+    :param trial: number of the trial run that is due now, 0 if none is due
+    :param retry_after_s: until a trial is due or the suspicion expires; 0 if not refused
     """
 
     level: SuspicionLevel = SuspicionLevel.NONE
@@ -76,124 +78,128 @@
 
 
 class CrashTracker:
-    """What one process knows; its methods may be called from any thread.
+    """The suspects that one process knows of; thread-safe.
 
-    :param on_update: called when there is something to tell others
+    :param on_update: called when there are updates to send to other processes
     """
 
     def __init__(self, on_update: Callable[[], None] = lambda: None) -> None:
         self.on_update = on_update
         self.suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self.living: OrderedDict[Start, float] = OrderedDict()
-        self.untold: dict[bytes, None] = {}
-        self.untold_living: dict[Start, None] = {}
+        self.alive: OrderedDict[Start, float] = OrderedDict()
+        self.unsent: dict[bytes, None] = {}
+        self.unsent_alive: dict[Start, None] = {}
         self.own: set[bytes] = set()
-        self.accused: set[Start] = set()
-        self.births = StartTimes()
+        self.reported_ended: set[Start] = set()
+        self.start_times = StartTimes()
         self.lock = threading.RLock()
 
     @property
     def is_empty(self) -> bool:
-        """Return whether no request is suspected; nothing is worked out for requests then."""
+        """Return whether no request is suspected, so that fingerprints need not be computed."""
         return not self.suspects
 
     def assess(self, fingerprint: bytes, now: float) -> Assessment:
-        """Return what holds for a request."""
+        """Return the current state of a request."""
         with self.lock:
-            return _ruling(self.suspects.get(fingerprint), now)
+            return _assess(self.suspects.get(fingerprint), now)
 
     def record_crash(
-        self, fingerprint: bytes, start: Start, now: float, listens: bool = False
+        self, fingerprint: bytes, incarnation: Start, now: float, listens: bool = False
     ) -> Assessment:
-        """Note that a start ended while a request was open there.
+        """Record that an endpoint crashed while a request was open there.
 
-        :param listens: whether its port goes on taking connections, so that it only may have ended
+        :param listens: whether its port still accepts connections, so that the crash is unconfirmed
         """
         with self.lock:
-            seen = Suspect(fingerprint, (Crash(start, now, listens),), seen_at=now)
-            self._add_own(seen)
-            return _ruling(self.suspects.get(fingerprint), now)
-
-    def confirm_crash(self, fingerprint: bytes, start: Start, at: float, next_born: int) -> None:
-        """Note that another start came after one that broke under a request."""
+            seen = Suspect(fingerprint, (Crash(incarnation, now, listens),), seen_at=now)
+            self._record(seen)
+            return _assess(self.suspects.get(fingerprint), now)
+
+    def confirm_crash(
+        self, fingerprint: bytes, incarnation: Start, at: float, next_start_time: int
+    ) -> None:
+        """Record that a later incarnation replaced one that crashed while running a request."""
         with self.lock:
-            crash = Crash(start, at, True, next_born)
-            self._add_own(Suspect(fingerprint, (crash,), seen_at=at))
+            crash = Crash(incarnation, at, True, next_start_time)
+            self._record(Suspect(fingerprint, (crash,), seen_at=at))
 
-    def current_incarnation(self, start: Start) -> Start:
-        """Return the start that is current where an entry names one; entries may stay behind."""
+    def current_incarnation(self, incarnation: Start) -> Start:
+        """Return the latest known incarnation; the entry of an endpoint may be outdated."""
         with self.lock:
-            return self.births.current(start)
+            return self.start_times.current(incarnation)
 
-    def is_reported_ended(self, start: Start, at: float) -> bool:
-        """Return whether a start is said to have ended before a time."""
+    def is_reported_ended(self, incarnation: Start, at: float) -> bool:
+        """Return whether an incarnation is reported to have crashed before a time."""
         with self.lock:
-            return start in self.accused and bool(self._accusing(start, at))
+            return incarnation in self.reported_ended and bool(self._suspects_of(incarnation, at))
 
     def record_success(self, fingerprint: bytes, now: float) -> bool:
-        """Note an answer after which its endpoint lived on; false if nothing stood against it."""
+        """Record a successful answer; returns false if the request was not suspected."""
         with self.lock:
             known = self.suspects.get(fingerprint)
             if known is None or not known.standing:
                 return False
-            self._add_own(Suspect(fingerprint, well_at=now, seen_at=now))
+            self._record(Suspect(fingerprint, well_at=now, seen_at=now))
             return True
 
     def record_trial(self, fingerprint: bytes, trial: int, now: float) -> None:
-        """Note that a trial of a refused request is made."""
+        """Record a trial run of a refused request."""
         with self.lock:
-            self._add_own(Suspect(fingerprint, trials=trial, seen_at=now))
+            self._record(Suspect(fingerprint, trials=trial, seen_at=now))
 
     def record_repeat(self, fingerprint: bytes, now: float) -> None:
-        """Note that a refused request came again, so that it is not forgotten while it does."""
+        """Record that a refused request was sent again, so that its suspicion does not expire."""
         with self.lock:
             known = self.suspects.get(fingerprint)
             if known is not None and now - known.seen_at > RETENTION_S / 2:
-                self._add_own(Suspect(fingerprint, seen_at=now))
+                self._record(Suspect(fingerprint, seen_at=now))
 
-    def record_answer(self, start: Start, now: float) -> bool:
-        """Note that a start answered; true if it was said to have ended well before."""
+    def record_answer(self, incarnation: Start, now: float) -> bool:
+        """Record an answer; returns true if it disproves a crash that was reported earlier."""
         with self.lock:
-            if start not in self.accused or not self._is_taken_back(start, now):
+            if incarnation not in self.reported_ended or not self._is_retracted_by(
+                incarnation, now
+            ):
                 return False
-            self._note_living(start, now)
+            self._record_alive(incarnation, now)
         self.on_update()
         return True
 
-    def retract_crash(self, start: Start, now: float, born: int) -> None:
-        """Note that a start that may have ended told its birth, and is the same one.
+    def retract_crash(self, incarnation: Start, now: float, start_time: int) -> None:
+        """Record that an incarnation that may have crashed still runs.
 
-        :param born: 0 if it tells none
+        :param start_time: the start time that it reports, 0 if it reports none
         """
         with self.lock:
-            self.births.note(start.instance, born)
-            self._note_living(start, now)
+            self.start_times.note(incarnation.instance, start_time)
+            self._record_alive(incarnation, now)
         self.on_update()
 
-    def merge(self, news: CrashNews, now: float) -> list[bytes]:
-        """Take over what another process knows; returns the requests that are refused by it."""
+    def merge(self, update: CrashNews, now: float) -> list[bytes]:
+        """Merge another process's update; returns the requests that are refused because of it."""
         with self.lock:
-            for living in news.living:
-                self._add_living(msgspec.structs.replace(living, at=_bounded(living.at, now)))
-            before = {one.fingerprint for one in news.suspects if self._is_refused(one, now)}
-            for suspect in news.suspects:
-                self._add(_all_bounded(suspect, now))
-            after = [one.fingerprint for one in news.suspects if self._is_refused(one, now)]
+            for report in update.living:
+                self._merge_alive(msgspec.structs.replace(report, at=_clamped(report.at, now)))
+            before = {one.fingerprint for one in update.suspects if self._is_refused(one, now)}
+            for suspect in update.suspects:
+                self._merge_suspect(_all_clamped(suspect, now))
+            after = [one.fingerprint for one in update.suspects if self._is_refused(one, now)]
         return [one for one in after if one not in before]
 
     def take_updates(self) -> CrashNews:
-        """Return what others were not told yet; it counts as told from then on."""
+        """Return the updates that were not sent yet and mark them as sent."""
         with self.lock:
-            suspects = tuple(self.suspects[one] for one in self.untold if one in self.suspects)
-            living = tuple(
-                Living(one, self.living[one]) for one in self.untold_living if one in self.living
+            suspects = tuple(self.suspects[one] for one in self.unsent if one in self.suspects)
+            alive = tuple(
+                Living(one, self.alive[one]) for one in self.unsent_alive if one in self.alive
             )
-            self.untold.clear()
-            self.untold_living.clear()
-        return CrashNews(suspects, living)
+            self.unsent.clear()
+            self.unsent_alive.clear()
+        return CrashNews(suspects, alive)
 
     def records_to_persist(self) -> CrashNews:
-        """Return what has to outlast this process: what it has a part in, and is near a level."""
+        """Return the own suspects to keep over a restart: those near isolation or refusal."""
         with self.lock:
             rows = [
                 one
@@ -202,107 +208,111 @@
             ]
         return CrashNews(tuple(rows[-MAX_PERSISTED:]))
 
-    def restore_own(self, news: CrashNews) -> None:
-        """Note that this box had a part in these before its process started again."""
+    def restore_own(self, update: CrashNews) -> None:
+        """Take over the suspects that this box persisted before its process restarted."""
         with self.lock:
-            self.own.update(one.fingerprint for one in news.suspects)
+            self.own.update(one.fingerprint for one in update.suspects)
 
-    def find(self, shown: str) -> Suspect | None:
-        """Return a request by its fingerprint as it stands in logs, none if it is not suspected."""
+    def find(self, prefix: str) -> Suspect | None:
+        """Return the suspect with a short fingerprint, none if there is none or several."""
         with self.lock:
-            rows = [one for key, one in self.suspects.items() if key.hex().startswith(shown)]
-        return rows[0] if shown and len(rows) == 1 else None
+            rows = [one for key, one in self.suspects.items() if key.hex().startswith(prefix)]
+        return rows[0] if prefix and len(rows) == 1 else None
 
     def expire(self, now: float) -> None:
-        """Forget the requests of which nothing was seen for long."""
+        """Forget requests without recent observations."""
         with self.lock:
-            for gone in [key for key, one in self.suspects.items() if _is_old(one, now)]:
-                self._drop(gone)
-            self.accused = {one.start for row in self.suspects.values() for one in row.crashes}
+            for expired in [key for key, one in self.suspects.items() if _is_old(one, now)]:
+                self._forget(expired)
+            self.reported_ended = {
+                one.start for row in self.suspects.values() for one in row.crashes
+            }
             if not self.suspects:
-                self.living.clear()
+                self.alive.clear()
 
-    def _accusing(self, start: Start, before: float) -> list[bytes]:
+    def _suspects_of(self, incarnation: Start, before: float) -> list[bytes]:
         return [
             one.fingerprint
             for one in self.suspects.values()
             if any(
-                crash.start == start and crash.at < before and not crash.is_proven
+                crash.start == incarnation and crash.at < before and not crash.is_proven
                 for crash in one.crashes
             )
         ]
 
-    def _is_taken_back(self, start: Start, now: float) -> bool:
-        """Return whether an answer of a start takes back that it ended."""
+    def _is_retracted_by(self, incarnation: Start, now: float) -> bool:
+        """Return whether an answer of an incarnation disproves that it crashed."""
         return any(
             crash.at < now - (RESOLVED_WITHIN_S if crash.listens else LATE_ANSWER_S)
             for one in self.suspects.values()
             for crash in one.crashes
-            if crash.start == start and not crash.is_proven
+            if crash.start == incarnation and not crash.is_proven
         )
 
-    def _note_living(self, start: Start, now: float) -> None:
-        self._add_living(Living(start, now))
-        self.untold_living[start] = None
+    def _record_alive(self, incarnation: Start, now: float) -> None:
+        self._merge_alive(Living(incarnation, now))
+        self.unsent_alive[incarnation] = None
 
     def _is_refused(self, suspect: Suspect, now: float) -> bool:
-        ruling = _ruling(self.suspects.get(suspect.fingerprint), now)
-        return ruling.level is SuspicionLevel.REFUSED
+        assessment = _assess(self.suspects.get(suspect.fingerprint), now)
+        return assessment.level is SuspicionLevel.REFUSED
 
-    def _add_own(self, seen: Suspect) -> None:
-        self._add(seen)
+    def _record(self, seen: Suspect) -> None:
+        self._merge_suspect(seen)
         self.own.add(seen.fingerprint)
-        self.untold[seen.fingerprint] = None
+        self.unsent[seen.fingerprint] = None
         self.on_update()
 
-    def _add(self, seen: Suspect) -> None:
+    def _merge_suspect(self, seen: Suspect) -> None:
         known = self.suspects.get(seen.fingerprint, Suspect(seen.fingerprint))
         crashes = {one.start: one for one in known.crashes}
         for one in seen.crashes:
             held = crashes.get(one.start)
             crashes[one.start] = one if held is None else held.merged(one)
-            self.births.note(one.start.instance, one.next_born)
-        live = [
+            self.start_times.note(one.start.instance, one.next_born)
+        remaining = [
             one
             for one in crashes.values()
-            if one.is_proven or one.at >= self.living.get(one.start, 0.0)
+            if one.is_proven or one.at >= self.alive.get(one.start, 0.0)
         ]
-        live.sort(key=lambda one: one.at)
-        self.accused.update(one.start for one in live)
+        remaining.sort(key=lambda one: one.at)
+        self.reported_ended.update(one.start for one in remaining)
         self.suspects[seen.fingerprint] = Suspect(
             seen.fingerprint,
-            tuple(live[-MAX_CRASHES_PER_REQUEST:]),
+            tuple(remaining[-MAX_CRASHES_PER_REQUEST:]),
             max(known.well_at, seen.well_at),
             max(known.trials, seen.trials),
             max(known.seen_at, seen.seen_at),
         )
         self.suspects.move_to_end(seen.fingerprint)
         if len(self.suspects) > MAX_SUSPECTS:
-            self._make_room()
-
-    def _add_living(self, living: Living) -> None:
-        """Take back what was held against requests for the end of a start that lives."""
-        self.living[living.start] = max(living.at, self.living.get(living.start, 0.0))
-        self.living.move_to_end(living.start)
-        while len(self.living) > MAX_ALIVE:
-            self.living.popitem(last=False)
-        for fingerprint in self._accusing(living.start, living.at):
+            self._evict_one()
+
+    def _merge_alive(self, alive: Living) -> None:
+        """Retract the unconfirmed crashes of an incarnation that still runs."""
+        self.alive[alive.start] = max(alive.at, self.alive.get(alive.start, 0.0))
+        self.alive.move_to_end(alive.start)
+        while len(self.alive) > MAX_ALIVE:
+            self.alive.popitem(last=False)
+        for fingerprint in self._suspects_of(alive.start, alive.at):
             known = self.suspects[fingerprint]
-            left = tuple(one for one in known.crashes if one.start != living.start or one.is_proven)
-            self.suspects[fingerprint] = msgspec.structs.replace(known, crashes=left)
+            remaining = tuple(
+                one for one in known.crashes if one.start != alive.start or one.is_proven
+            )
+            self.suspects[fingerprint] = msgspec.structs.replace(known, crashes=remaining)
 
-    def _make_room(self) -> None:
-        """Forget first what has the least against it, and of that what was seen longest ago."""
+    def _evict_one(self) -> None:
+        """Forget the suspect with the fewest crashes since a success; of several the oldest one."""
         least = min(self.suspects.values(), key=lambda one: len(one.standing))
-        self._drop(least.fingerprint)
+        self._forget(least.fingerprint)
 
-    def _drop(self, fingerprint: bytes) -> None:
+    def _forget(self, fingerprint: bytes) -> None:
         self.suspects.pop(fingerprint, None)
-        self.untold.pop(fingerprint, None)
+        self.unsent.pop(fingerprint, None)
         self.own.discard(fingerprint)
 
 
-def _ruling(known: Suspect | None, now: float) -> Assessment:
+def _assess(known: Suspect | None, now: float) -> Assessment:
     if known is None or _is_old(known, now):
         return NO_SUSPICION
     standing = known.standing
@@ -326,21 +336,21 @@
     return now - known.seen_at > RETENTION_S
 
 
-def _bounded(at: float, now: float) -> float:
-    """Return a time that a sound clock may tell; what is none, such as NaN, is long ago."""
+def _clamped(at: float, now: float) -> float:
+    """Return a time clamped to the near future; invalid times such as NaN become 0."""
     return min(at, now + MAX_CLOCK_AHEAD_S) if at >= 0 else 0.0
 
 
-def _all_bounded(suspect: Suspect, now: float) -> Suspect:
-    """Return a suspect without times that no clock of a sound box tells."""
+def _all_clamped(suspect: Suspect, now: float) -> Suspect:
+    """Return a suspect with invalid or far future times clamped."""
     return msgspec.structs.replace(
         suspect,
         crashes=tuple(
-            msgspec.structs.replace(one, at=_bounded(one.at, now)) for one in suspect.crashes
+            msgspec.structs.replace(one, at=_clamped(one.at, now)) for one in suspect.crashes
         ),
-        well_at=_bounded(suspect.well_at, now),
+        well_at=_clamped(suspect.well_at, now),
         trials=min(suspect.trials, len(TRIAL_DELAYS_S)),
-        seen_at=_bounded(suspect.seen_at, now),
+        seen_at=_clamped(suspect.seen_at, now),
     )
 
 
--- a/src/threadramp/policy/fingerprint.py
+++ b/src/threadramp/policy/fingerprint.py
@@ -1,22 +1,22 @@
-"""What makes two requests the same one: same host, path, caller and body, whatever their ids.
+"""Fingerprints of requests, made of host, method, target, caller and body, not of the id.
 
-The hash is keyed with the caller, so that nobody can make up a request that is taken for another
-caller's, and what stands in logs tells nothing of a body.
+The hash is keyed with the caller, so that no caller can construct a request with the fingerprint of
+another caller's request, and so that fingerprints in logs reveal nothing about a body.
 """
 
 from __future__ import annotations
 
 from hashlib import blake2b
 
-FINGERPRINT_BYTES = 16  # 1e10 requests would have to be kept for two to be alike by chance
-SHOWN_BYTES = 6  # in logs and for operators
+FINGERPRINT_BYTES = 16  # a collision by chance needs some 1e10 tracked requests
+SHORT_BYTES = 6  # in logs and operator commands
 
 
 def fingerprint(host: str, method: str, target: str, caller: str, body: bytes) -> bytes:
-    """Return what stands for a request; 1.4 ms for a body of a megabyte (``bench.slopes``).
+    """Return the fingerprint of a request; takes 1.4 ms for a 1 MB body (``bench.slopes``).
 
     :param target: path and query
-    :param caller: what tells whose request it is, empty if nothing does
+    :param caller: identifies the caller, empty if nothing does
     """
     key = blake2b(caller.encode()).digest() if caller else b""
     digest = blake2b(digest_size=FINGERPRINT_BYTES, key=key)
@@ -28,9 +28,9 @@
     return digest.digest()
 
 
-def short_fingerprint(of: bytes) -> str:
-    """Return a fingerprint as it stands in logs."""
-    return of[:SHOWN_BYTES].hex()
+def short_fingerprint(full: bytes) -> str:
+    """Return the short form of a fingerprint that is used in logs."""
+    return full[:SHORT_BYTES].hex()
 
 
 __all__ = ["fingerprint", "short_fingerprint"]
--- a/src/threadramp/policy/proxied_crashes.py
+++ b/src/threadramp/policy/proxied_crashes.py
@@ -1,10 +1,10 @@
-"""Whether an endpoint ended whose port goes on taking connections, without I/O, without a clock.
+"""Detects crashes of endpoints behind a proxy that keeps listening; no I/O, no clock.
 
-A front takes and breaks connections while its endpoint is down; a full queue, a cut and a link that
-flaps show parts of the same. So a break is held against a request for a while only if the endpoint
-was sound when the request began there, broke all that was open, and breaks what is new. What is
-held is settled by the birth that the endpoint tells once it answers: another one proves the end,
-and the same one, or none, takes back what was held.
+A reverse proxy accepts and then breaks connections while its endpoint is down. A full queue, a cut
+link and a flapping link look similar. A broken connection is therefore attributed to a request, for
+now, only if the endpoint was healthy when the request began, broke all open connections and breaks
+new ones. The start time that the endpoint reports once it answers resolves the case: a later one
+confirms the crash; the same one, or none, retracts it.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 
     from threadramp.fleet.model import Start
 
-# A request that is broken as fast as a connection on which nothing is asked was not begun: a full
-# queue does that, and a front whose endpoint was down before. A thread may wait for a processor.
-BEGUN_S = 0.01
-# Endpoints are back after 1 to 3 s, and the users allow 3 s from the third crash until it is known.
-# An endpoint that was not down at all answers the first look.
-LOOKS_S = (0.1,) + (0.25,) * 20
-LATER_LOOKS_S = (2.0,) * 30  # for those that are away for long
-BIRTHS_MOST = 1024
-CLOCK_SKEW_S = 5.0  # a birth is told by another box's clock
-# An endpoint that tells no birth names its next start by an entry alone, which comes a little after
-# its first answer.
+# A request whose connection breaks as fast as one without a request was not begun: a full queue
+# does that, and so does a proxy whose endpoint was already down. The margin allows for a thread
+# that waits for a processor.
+BEGUN_MARGIN_S = 0.01
+# Endpoints are back after 1 to 3 s. Requirement: a third crash is recognised within 3 s. An
+# endpoint that was not down at all answers the first probe.
+PROBE_DELAYS_S = (0.1,) + (0.25,) * 20
+LATE_PROBE_DELAYS_S = (2.0,) * 30  # for endpoints that are down for longer
+MAX_START_TIMES = 1024
+CLOCK_SKEW_S = 5.0  # the start time comes from another box's clock
+# The next incarnation of an endpoint that reports no start time is known from its entry alone,
+# which is updated a little after its first answer.
 ENTRY_DELAY_S = 3.0
 MS_PER_S = 1000.0
 
 
 class CrashResolution(Enum):
-    """What became of an endpoint that may have ended."""
+    """Whether an endpoint that may have crashed did crash."""
 
     ENDED = "ended"
     ALIVE = "lives"
@@ -44,78 +45,81 @@
 
 @dataclass(frozen=True)
 class ConnectionBreak:
-    """An endpoint that broke a connection while it owed an answer, and breaks new ones as well.
-
-    :param lived_s: seconds from the sending of the request until the break
-    :param look_s: seconds after which a connection broke on which nothing was asked
-    :param kept: whether it was a kept connection, which the endpoint had taken before
-    :param others_go_on: whether other requests of this process are still open there, or have an
-        answer since
-    :param known_before: whether it was said to have ended before the request was sent
+    """A connection that broke before the answer, at an endpoint that breaks new connections too.
+
+    :param elapsed_s: seconds from sending the request until the connection broke
+    :param probe_s: seconds until a probe connection without a request broke
+    :param reused: whether the connection had served a request before
+    :param others_active: whether other requests of this process are still open there, or were
+        answered since
+    :param reported_before: whether a crash was reported before the request was sent
     """
 
-    lived_s: float
-    look_s: float
-    kept: bool = False
-    others_go_on: bool = False
-    known_before: bool = False
+    elapsed_s: float
+    probe_s: float
+    reused: bool = False
+    others_active: bool = False
+    reported_before: bool = False
 
     @property
     def was_begun(self) -> bool:
-        """Return whether the endpoint had taken the request, as far as its time tells."""
-        return self.kept or self.lived_s >= self.look_s + BEGUN_S
+        """Return whether the endpoint had begun the request, judging by the elapsed time."""
+        return self.reused or self.elapsed_s >= self.probe_s + BEGUN_MARGIN_S
 
 
 def may_have_ended(seen: ConnectionBreak) -> bool:
-    """Return whether the break is held against the request until it is settled."""
-    return seen.was_begun and not seen.others_go_on and not seen.known_before
+    """Return whether the request is suspected until the crash is resolved."""
+    return seen.was_begun and not seen.others_active and not seen.reported_before
 
 
-def resolve_crash(known: int, told: int | None, broke_at: float = float("inf")) -> CrashResolution:
-    """Return what became of an endpoint that may have ended.
+def resolve_crash(
+    known: int, reported: int | None, broke_at: float = float("inf")
+) -> CrashResolution:
+    """Return whether an endpoint that may have crashed did crash.
 
-    :param known: birth of the start that may have ended, 0 if it is not known
-    :param told: birth that it tells now, 0 if it answers without one, none if it does not answer
-    :param broke_at: when it broke, in seconds since the epoch
+    :param known: start time of the incarnation in question, in ms, 0 if it is not known
+    :param reported: start time that the endpoint reports now, in ms; 0 if it answers without one,
+        none if it does not answer
+    :param broke_at: when the connection broke, in seconds since the epoch
     """
-    if told is None or 0 < told < known:  # the older one can not come from after the break
+    if reported is None or 0 < reported < known:  # an older one cannot have started later
         return CrashResolution.PENDING
-    if not known and told / MS_PER_S > broke_at - CLOCK_SKEW_S:
+    if not known and reported / MS_PER_S > broke_at - CLOCK_SKEW_S:
         return CrashResolution.ENDED
-    return CrashResolution.ENDED if 0 < known < told else CrashResolution.ALIVE
+    return CrashResolution.ENDED if 0 < known < reported else CrashResolution.ALIVE
 
 
 def probe_delays() -> Iterator[float]:
-    """Yield the pauses before each look at an endpoint that may have ended."""
-    return chain(LOOKS_S, LATER_LOOKS_S)
+    """Yield the delay before each probe of an endpoint that may have crashed."""
+    return chain(PROBE_DELAYS_S, LATE_PROBE_DELAYS_S)
 
 
 class StartTimes:
-    """The newest births that are known of endpoints whose entries do not tell them."""
+    """The newest known start times of endpoints whose entries do not contain them."""
 
     def __init__(self) -> None:
         self.newest: dict[str, int] = {}
 
-    def note(self, instance: str, born: int) -> None:
-        """Note a birth that an endpoint told."""
-        if born > self.newest.get(instance, 0):
+    def note(self, instance: str, start_time: int) -> None:
+        """Record a start time that an endpoint reported."""
+        if start_time > self.newest.get(instance, 0):
             self.newest.pop(instance, None)
-            self.newest[instance] = born
-        while len(self.newest) > BIRTHS_MOST:
+            self.newest[instance] = start_time
+        while len(self.newest) > MAX_START_TIMES:
             del self.newest[next(iter(self.newest))]
 
-    def current(self, start: Start) -> Start:
-        """Return the start that is current where an entry names one."""
-        born = self.newest.get(start.instance, 0)
-        return start._replace(born=born) if born > start.born else start
+    def current(self, incarnation: Start) -> Start:
+        """Return the latest known incarnation of an endpoint, given one that may be outdated."""
+        newest = self.newest.get(incarnation.instance, 0)
+        return incarnation._replace(born=newest) if newest > incarnation.born else incarnation
 
 
 __all__ = [
     "ENTRY_DELAY_S",
-    "StartTimes",
     "ConnectionBreak",
     "CrashResolution",
-    "probe_delays",
+    "StartTimes",
     "may_have_ended",
+    "probe_delays",
     "resolve_crash",
 ]
--- a/tests/policy/test_proxied_crashes.py
+++ b/tests/policy/test_proxied_crashes.py
@@ -1,4 +1,4 @@
-"""What is held against a request where a port goes on answering, and what takes it back."""
+"""When a crash behind a proxy is attributed to a request, and what retracts it."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from threadramp.fleet.model import Start
 from threadramp.policy.crash_tracker import CrashTracker, SuspicionLevel
 from threadramp.policy.proxied_crashes import (
-    BEGUN_S,
-    BIRTHS_MOST,
+    BEGUN_MARGIN_S,
+    MAX_START_TIMES,
     ConnectionBreak,
     CrashResolution,
     StartTimes,
@@ -22,52 +22,54 @@
 )
 
 NOW = 1_700_000_000.0
-BORN = 1_700_000_000_000
+STARTED_MS = 1_700_000_000_000
 ONE = b"one-request-0000"
-SETTLED_S = 3.0  # the users allow it from the third crash on
-BACK_S = 2.0  # for which endpoints are usually away
+RESOLVED_S = 3.0  # requirement: from the third crash until it is recognised
+RESTART_S = 2.0  # usual time until an endpoint is back
 
 seconds = st.floats(0.0, 30.0)
-births = st.integers(0, 5).map(lambda number: number and BORN + number)
+start_times = st.integers(0, 5).map(lambda number: number and STARTED_MS + number)
 
 
-@given(look_s=seconds, lived_s=seconds)
-def test_a_full_queue_is_held_against_nobody(look_s, lived_s):
-    """It resets a new connection as fast as one on which nothing is asked."""
-    refused_at_once = ConnectionBreak(min(lived_s, look_s), look_s)
+@given(probe_s=seconds, elapsed_s=seconds)
+def test_a_full_queue_is_not_attributed_to_a_request(probe_s, elapsed_s):
+    """A full queue resets a request as fast as a connection without a request."""
+    refused_at_once = ConnectionBreak(min(elapsed_s, probe_s), probe_s)
     assert not may_have_ended(refused_at_once)
 
 
-@given(lived_s=seconds, look_s=seconds, kept=st.booleans())
-def test_one_connection_that_breaks_is_held_against_nobody(lived_s, look_s, kept):
-    """Others that are open there go on, so the endpoint does."""
-    assert not may_have_ended(ConnectionBreak(lived_s, look_s, kept, others_go_on=True))
+@given(elapsed_s=seconds, probe_s=seconds, reused=st.booleans())
+def test_one_broken_connection_among_others_is_not_attributed_to_a_request(
+    elapsed_s, probe_s, reused
+):
+    """Other requests go on there, so the endpoint still runs."""
+    assert not may_have_ended(ConnectionBreak(elapsed_s, probe_s, reused, others_active=True))
 
 
-@given(lived_s=seconds, look_s=seconds, kept=st.booleans())
-def test_what_is_sent_to_an_endpoint_that_was_down_is_not_to_blame(lived_s, look_s, kept):
-    assert not may_have_ended(ConnectionBreak(lived_s, look_s, kept, known_before=True))
+@given(elapsed_s=seconds, probe_s=seconds, reused=st.booleans())
+def test_a_request_sent_after_a_reported_crash_is_not_suspected(elapsed_s, probe_s, reused):
+    assert not may_have_ended(ConnectionBreak(elapsed_s, probe_s, reused, reported_before=True))
 
 
-@given(lived_s=st.floats(BEGUN_S * 2, 30.0), kept=st.booleans())
-def test_one_that_ran_when_all_broke_is_held(lived_s, kept):
-    assert may_have_ended(ConnectionBreak(lived_s, 0.001, kept))
-    assert may_have_ended(ConnectionBreak(0.0, 0.001, kept=True))
+@given(elapsed_s=st.floats(BEGUN_MARGIN_S * 2, 30.0), reused=st.booleans())
+def test_a_request_that_ran_when_all_connections_broke_is_suspected(elapsed_s, reused):
+    assert may_have_ended(ConnectionBreak(elapsed_s, 0.001, reused))
+    assert may_have_ended(ConnectionBreak(0.0, 0.001, reused=True))
 
 
-@given(known=births, told=st.none() | births)
-def test_only_a_later_birth_proves_an_end_and_only_an_answer_takes_it_back(known, told):
-    found = resolve_crash(known, told)
+@given(known=start_times, reported=st.none() | start_times)
+def test_only_a_later_start_time_confirms_a_crash_and_only_an_answer_retracts_it(known, reported):
+    found = resolve_crash(known, reported)
     if found is CrashResolution.ENDED:
-        assert 0 < known < told
-    if told is None:
+        assert 0 < known < reported
+    if reported is None:
         assert found is CrashResolution.PENDING
-    if told is not None and told in (0, known):
+    if reported is not None and reported in (0, known):
         assert found is CrashResolution.ALIVE
 
 
 @pytest.mark.parametrize(
-    ("born_after_s", "expected"),
+    ("started_after_s", "expected"),
     [
         (2.0, CrashResolution.ENDED),
         (-4.0, CrashResolution.ENDED),
@@ -75,101 +77,101 @@
         (-600.0, CrashResolution.ALIVE),
     ],
 )
-def test_a_birth_around_the_break_proves_an_end_where_none_was_known(born_after_s, expected):
-    """Entries that tell no birth made each restart look like the same endpoint living on."""
-    told = int((NOW + born_after_s) * 1000)
-    assert resolve_crash(0, told, NOW) is expected
+def test_a_start_time_near_the_break_confirms_a_crash_if_none_was_known(started_after_s, expected):
+    """Without a start time in the entry, each restart looked like the same incarnation."""
+    reported = int((NOW + started_after_s) * 1000)
+    assert resolve_crash(0, reported, NOW) is expected
 
 
-def test_an_end_is_settled_in_time_and_looked_at_few_times():
+def test_a_crash_is_resolved_in_time_with_few_probes():
     at = list(accumulate(probe_delays()))
-    first_answer = min(one for one in at if one > BACK_S)
-    assert first_answer <= SETTLED_S - 0.5
+    first_answer = min(one for one in at if one > RESTART_S)
+    assert first_answer <= RESOLVED_S - 0.5
     assert len(at) <= 60
     assert at[-1] >= 60.0
 
 
-# Of one endpoint: how many of its links flap at a time, and whether it ends in between.
+# Number of the endpoint whose link flaps, and whether it answers another request first.
 flaps = st.lists(st.tuples(st.integers(0, 9), st.booleans()), max_size=30)
 
 
 @given(flaps)
-def test_links_that_flap_convict_nobody(rows):
-    """Whatever broke under one request, the same births take all of it back, in any order."""
-    book = CrashTracker()
+def test_flapping_links_lead_to_no_refusal(rows):
+    """However often connections broke, the unchanged start times retract every crash."""
+    tracker = CrashTracker()
     at = NOW
     for number, answers_first in rows:
-        start = Start(f"i-{number}", BORN)
-        book.record_crash(ONE, start, at, listens=True)
-        if answers_first:  # an answer to another request, before it is settled
-            book.record_answer(start, at + 0.1)
+        start = Start(f"i-{number}", STARTED_MS)
+        tracker.record_crash(ONE, start, at, listens=True)
+        if answers_first:  # an answer to another request, before the crash is resolved
+            tracker.record_answer(start, at + 0.1)
         at += 0.2
     for number, _ in rows:
-        book.retract_crash(Start(f"i-{number}", BORN), at + 0.1, BORN)
-    assert book.assess(ONE, at + 0.2).level is SuspicionLevel.NONE
+        tracker.retract_crash(Start(f"i-{number}", STARTED_MS), at + 0.1, STARTED_MS)
+    assert tracker.assess(ONE, at + 0.2).level is SuspicionLevel.NONE
 
 
 @given(st.permutations(range(4)), st.booleans())
-def test_what_is_proven_stands_whatever_answers_there_later(order, answers):
-    """The next start answers under the same id; that says nothing of the one before."""
-    book = CrashTracker()
+def test_a_confirmed_crash_is_not_retracted_by_later_answers(order, answers):
+    """The next incarnation answers under the same id, which does not disprove the crash."""
+    tracker = CrashTracker()
     for number in order:
-        start = Start(f"i-{number}", BORN)
-        book.record_crash(ONE, start, NOW, listens=True)
-        book.confirm_crash(ONE, start, NOW, BORN + 1)
+        start = Start(f"i-{number}", STARTED_MS)
+        tracker.record_crash(ONE, start, NOW, listens=True)
+        tracker.confirm_crash(ONE, start, NOW, STARTED_MS + 1)
         if answers:
-            book.record_answer(start, NOW + 20.0)
-            book.retract_crash(start, NOW + 20.0, BORN + 1)
-    ruling = book.assess(ONE, NOW + 20.0)
-    assert (ruling.level, ruling.crashes) == (SuspicionLevel.REFUSED, 4)
+            tracker.record_answer(start, NOW + 20.0)
+            tracker.retract_crash(start, NOW + 20.0, STARTED_MS + 1)
+    assessment = tracker.assess(ONE, NOW + 20.0)
+    assert (assessment.level, assessment.crashes) == (SuspicionLevel.REFUSED, 4)
 
 
-def test_an_answer_takes_back_what_nobody_settled():
-    """The box that saw the break was lost before it knew."""
-    book = CrashTracker()
-    start = Start("i-0", BORN)
-    book.record_crash(ONE, start, NOW, listens=True)
-    assert not book.record_answer(start, NOW + 5.0)
-    assert book.record_answer(start, NOW + 11.0)
-    assert book.assess(ONE, NOW + 11.0).level is SuspicionLevel.NONE
+def test_an_answer_retracts_a_crash_that_nobody_resolved():
+    """The box that saw the connection break was lost before it resolved the crash."""
+    tracker = CrashTracker()
+    start = Start("i-0", STARTED_MS)
+    tracker.record_crash(ONE, start, NOW, listens=True)
+    assert not tracker.record_answer(start, NOW + 5.0)
+    assert tracker.record_answer(start, NOW + 11.0)
+    assert tracker.assess(ONE, NOW + 11.0).level is SuspicionLevel.NONE
 
 
-def test_each_start_behind_one_entry_counts_for_itself():
-    book = CrashTracker()
-    listed = Start("i-0", BORN)
+def test_each_incarnation_behind_one_entry_counts_separately():
+    tracker = CrashTracker()
+    listed = Start("i-0", STARTED_MS)
     for number in range(3):
-        start = book.current_incarnation(listed)
-        assert start.born == BORN + number
-        book.record_crash(ONE, start, NOW + number, listens=True)
-        book.confirm_crash(ONE, start, NOW + number, BORN + number + 1)
-    assert book.assess(ONE, NOW + 3).level is SuspicionLevel.REFUSED
+        start = tracker.current_incarnation(listed)
+        assert start.born == STARTED_MS + number
+        tracker.record_crash(ONE, start, NOW + number, listens=True)
+        tracker.confirm_crash(ONE, start, NOW + number, STARTED_MS + number + 1)
+    assert tracker.assess(ONE, NOW + 3).level is SuspicionLevel.REFUSED
 
 
-def test_what_one_box_proved_another_is_told_with_the_birth():
+def test_a_confirmed_crash_is_merged_with_the_next_start_time():
     here, there = CrashTracker(), CrashTracker()
-    start = Start("i-0", BORN)
+    start = Start("i-0", STARTED_MS)
     here.record_crash(ONE, start, NOW, listens=True)
     there.merge(here.take_updates(), NOW)
     assert there.is_reported_ended(start, NOW + 0.1)
-    here.confirm_crash(ONE, start, NOW, BORN + 7)
+    here.confirm_crash(ONE, start, NOW, STARTED_MS + 7)
     there.merge(here.take_updates(), NOW)
-    assert there.current_incarnation(start) == Start("i-0", BORN + 7)
+    assert there.current_incarnation(start) == Start("i-0", STARTED_MS + 7)
     assert not there.is_reported_ended(there.current_incarnation(start), NOW + 0.1)
     assert there.assess(ONE, NOW).crashes == 1
 
 
-@pytest.mark.parametrize("told", [0, BORN - 1])
-def test_births_only_rise(told):
+@pytest.mark.parametrize("reported", [0, STARTED_MS - 1])
+def test_start_times_only_increase(reported):
     known = StartTimes()
-    known.note("i-0", BORN)
-    known.note("i-0", told)
-    assert known.current(Start("i-0", BORN - 2)) == Start("i-0", BORN)
-    assert known.current(Start("i-0", BORN + 2)) == Start("i-0", BORN + 2)
+    known.note("i-0", STARTED_MS)
+    known.note("i-0", reported)
+    assert known.current(Start("i-0", STARTED_MS - 2)) == Start("i-0", STARTED_MS)
+    assert known.current(Start("i-0", STARTED_MS + 2)) == Start("i-0", STARTED_MS + 2)
 
 
-def test_births_are_bounded():
+def test_start_times_are_bounded():
     known = StartTimes()
-    for number in range(BIRTHS_MOST + 5):
-        known.note(f"i-{number}", BORN)
-    assert len(known.newest) == BIRTHS_MOST
+    for number in range(MAX_START_TIMES + 5):
+        known.note(f"i-{number}", STARTED_MS)
+    assert len(known.newest) == MAX_START_TIMES
     assert known.current(Start("i-0", 1)).born == 1
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -281,7 +281,7 @@
         "ends behind a port held against the request",
         "crashes_endpoints_behind_fronts_is_not_sent_on",
         PROXIED_CRASHES,
-        "return seen.was_begun and not seen.others_go_on and not seen.known_before",
+        "return seen.was_begun and not seen.others_active and not seen.reported_before",
         "return False",
     ),
     Removal.of_one(
@@ -295,7 +295,7 @@
         "ends behind a port taken back by the same birth",
         "links_that_flap_convict_nobody",
         PROXIED_CRASHES,
-        "CrashResolution.ENDED if 0 < known < told else CrashResolution.ALIVE",
+        "CrashResolution.ENDED if 0 < known < reported else CrashResolution.ALIVE",
         "CrashResolution.ENDED",
     ),
     Removal.of_one(
