--- a/bench/pool_model.py
+++ b/bench/pool_model.py
@@ -18,17 +18,22 @@
 from threadramp.core.lot_book import LotBook, LotRules, Phase, RunOutcome
 from threadramp.fleet.picture import Member
 from threadramp.lots.model import Lot, Sample
-from threadramp.policy.hurry import engines_to_hurry
-from threadramp.policy.lengths import Lengths
-from threadramp.policy.model_share import NamedVersion, load_at_once, model_share, next_load
-from threadramp.policy.moves import RunningSample, to_faster
-from threadramp.policy.sample_placement import RunnerView, place
+from threadramp.policy.load_schedule import (
+    PublishedVersion,
+    load_schedule,
+    max_concurrent_loads,
+    next_load,
+)
+from threadramp.policy.moves import RunningSample, samples_to_move
+from threadramp.policy.sample_length import LengthEstimator
+from threadramp.policy.sample_placement import RunnerView, choose_runner
+from threadramp.policy.urgent_loads import engines_for_urgent_load
 from threadramp.wire.runner import RunnerStatus
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.policy.model_share import ModelShare
+    from threadramp.policy.load_schedule import LoadSchedule
 
 TICK_S = 0.05
 LOOK_EACH = 4  # ticks between two looks of a sidecar at its engine
@@ -55,7 +60,7 @@
     :param others_run: whether samples of other models run while one is loaded
     """
 
-    loads: Callable[[Engine, list[NamedVersion], Pool], NamedVersion | None]
+    loads: Callable[[Engine, list[PublishedVersion], Pool], PublishedVersion | None]
     others_run: bool = True
     moves: bool = True
     hurry: bool = True
@@ -115,7 +120,7 @@
     took_s: list[float] = field(default_factory=list)
     waits_s: list[float] = field(default_factory=list)
     behind_s: float = 0.0
-    lengths: Lengths = field(default_factory=Lengths)
+    lengths: LengthEstimator = field(default_factory=LengthEstimator)
 
 
 @dataclass
@@ -177,10 +182,10 @@
             self._run()
         return self._figures()
 
-    def share(self, engine: Engine) -> ModelShare:
+    def share(self, engine: Engine) -> LoadSchedule:
         """Return what one engine loads."""
         models = [one.model for one in self.trainers]
-        return model_share(engine.rank, len(self.engines), models)
+        return load_schedule(engine.rank, len(self.engines), models)
 
     def _figures(self) -> DayFigures:
         took = [seconds for one in self.trainers for seconds in one.took_s]
@@ -245,7 +250,7 @@
     def _load(self) -> None:
         """Let loads go on; they get longer while many engines load."""
         loading = [one for one in self.engines if one.loading]
-        pace = min(1.0, load_at_once(len(self.engines)) / max(1, len(loading)))
+        pace = min(1.0, max_concurrent_loads(len(self.engines)) / max(1, len(loading)))
         for engine in loading:
             engine.left_s -= TICK_S * pace
             if engine.left_s <= 0:
@@ -266,36 +271,40 @@
                 engine.left_s = LOAD_S
                 engine.loads += 1
 
-    def _named(self, engine: Engine, trainer: Trainer) -> NamedVersion:
+    def _named(self, engine: Engine, trainer: Trainer) -> PublishedVersion:
         version, since = engine.seen.get(trainer.model, (0, self.now))
         if version != trainer.version:
             since = self.now
             engine.seen[trainer.model] = (trainer.version, since)
         held = engine.versions[trainer.model]
-        return NamedVersion(trainer.model, trainer.version, held, self.now - since)
+        return PublishedVersion(trainer.model, trainer.version, held, self.now - since)
 
     def _turn(self, trainer: Trainer) -> None:
         """Let a trainer's gateway place, move and hurry."""
         self._look()
         views = list(self.views.values())
         if self.switches.moves:
-            for one in to_faster(self._running(trainer), views, self.now):
+            for one in samples_to_move(self._running(trainer), views, self.now):
                 self._book(trainer, one.sample).give_back(one.sample, one.runner, self.now)
                 self.moves += 1
         for lot in trainer.lots:
             self._place(lot, views)
             if self.switches.hurry and lot.book.waiting(self.now):
                 wanted = lot.book.lot
-                for view in engines_to_hurry(views, wanted.model, wanted.min_version, self.now):
+                for view in engines_for_urgent_load(
+                    views, wanted.model, wanted.min_version, self.now
+                ):
                     self.engines[int(view.member.name[1:])].hurried = wanted.model
 
     def _place(self, lot: OpenLot, views: list[RunnerView]) -> None:
         wanted = lot.book.lot
         for state in lot.book.waiting(self.now):
-            view = place(views, wanted.model, wanted.min_version, "", state.last_runner, self.now)
+            view = choose_runner(
+                views, wanted.model, wanted.min_version, "", state.last_runner, self.now
+            )
             if view is None:
                 return
-            view.taken += 1
+            view.assigned += 1
             lot.book.assign(state.sample.id, view.member.name)
             lot.book.accepted(state.sample.id, view.member.name, "chain")
             lot.first_run.setdefault(state.sample.id, self.now)
@@ -314,8 +323,8 @@
             )
             view = self.views[engine.name]
             view.status = status
-            view.taken = taken[engine.name]
-            view.heard = self.now
+            view.assigned = taken[engine.name]
+            view.last_answer_at = self.now
 
     def _running(self, trainer: Trainer) -> list[RunningSample]:
         return [
@@ -361,17 +370,17 @@
                 trainer.waits_s.append(lot.first_run[name] - lot.at)
 
 
-def turns(engine: Engine, named: list[NamedVersion], pool: Pool) -> NamedVersion | None:
+def turns(engine: Engine, named: list[PublishedVersion], pool: Pool) -> PublishedVersion | None:
     """Choose as the sidecars do."""
     return next_load(named, pool.share(engine), pool.now + pool.offset, 1, engine.hurried)
 
 
-def blocks(engine: Engine, named: list[NamedVersion], pool: Pool) -> NamedVersion | None:
+def blocks(engine: Engine, named: list[PublishedVersion], pool: Pool) -> PublishedVersion | None:
     """Choose as before: engines dealt out in blocks, each loads each version once it is named."""
     place_of = engine.rank * len(named) // len(pool.engines)
     one = sorted(named, key=lambda one: one.model)[place_of]
-    delay = engine.rank // load_at_once(len(pool.engines))
-    return one if one.held < one.version and one.known_s >= delay else None
+    delay = engine.rank // max_concurrent_loads(len(pool.engines))
+    return one if one.held < one.version and one.age_s >= delay else None
 
 
 def _member(engine: Engine) -> Member:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -31,7 +31,7 @@
 from threadramp.policy.placement import LeastLoaded
 from threadramp.policy.subset import gateway_subset
 from threadramp.policy.tail import TAILS
-from threadramp.policy.usage_book import UsageBook, UsageTable
+from threadramp.policy.usage_windows import UsageTotals, UsageWindows
 from threadramp.wire.fleet import UsageCounts
 from threadramp.wire.messages import (
     CallStamp,
@@ -366,13 +366,13 @@
 def measure_usage() -> None:
     """Measure what the counts of one gateway cost, by the organisations that called in a window."""
     for organisations in (10, 100, 1000):
-        book, table = UsageBook(5.0), UsageTable(5.0)
+        book, table = UsageWindows(5.0), UsageTotals(5.0)
 
-        def call(at: UsageBook = book, of: int = organisations) -> None:
+        def call(at: UsageWindows = book, of: int = organisations) -> None:
             for number in range(of):
                 at.began(f"org-{number}", 1.0)
 
-        def take(of: UsageBook = book, at: UsageTable = table) -> None:
+        def take(of: UsageWindows = book, at: UsageTotals = table) -> None:
             at.note("box", "i", *of.changed_since(0), 1.0)
 
         cost = processor_ms(call, 5) / organisations * MS
@@ -382,7 +382,7 @@
         report("counts of a window on the wire", organisations, message_bytes(told), "bytes")
         report("counts taken, processor", organisations, processor_ms(take, 20), "ms")
         for number in range(TARGET_GATEWAYS):
-            table.note(f"gateway-{number}", "i", changes, windows, 1.0)
+            table.merge(f"gateway-{number}", "i", changes, windows, 1.0)
         cost = processor_ms(lambda: table.total(0), 1)  # noqa: B023
         report("sum over 350 gateways, processor", organisations, cost, "ms")
 
--- a/src/threadramp/core/admission.py
+++ b/src/threadramp/core/admission.py
@@ -54,7 +54,7 @@
         self, call: str, rank: int, deadline: float, now: float
     ) -> Admitted | Queued | Refusal:
         """Decide on a call that has arrived."""
-        self.reserve.arrived(now)
+        self.reserve.record_arrival(now)
         if deadline <= now:
             return Refusal.not_run(Reason.DEADLINE, "its deadline has passed")
         if self._free() > 0 and not self.queue:
@@ -94,7 +94,9 @@
 
     def start_rollout(self, now: float) -> bool:
         """Take a slot for a rollout if the calls leave one."""
-        if self.queue or self._free() <= self.reserve.slots(self.slots, len(self.running), now):
+        if self.queue or self._free() <= self.reserve.reserved_slots(
+            self.slots, len(self.running), now
+        ):
             return False
         self.rollouts += 1
         return True
--- a/src/threadramp/core/call.py
+++ b/src/threadramp/core/call.py
@@ -106,7 +106,7 @@
 
     def start(self, now: float) -> Send | Finish:
         """Decide on the first attempt."""
-        self.budget.first_attempt()
+        self.budget.record_first_attempt()
         return self._next(now, pause_s=0.0)
 
     def refused(self, refusal: Refusal, now: float) -> Send | Finish:
--- a/src/threadramp/core/lot_book.py
+++ b/src/threadramp/core/lot_book.py
@@ -11,14 +11,14 @@
 from typing import TYPE_CHECKING
 
 from threadramp.lots.model import Result, ResultState
-from threadramp.policy.lengths import Lengths
-from threadramp.policy.listing import LISTINGS, Unlisted
+from threadramp.policy.listing_policy import LISTINGS, PendingResults
+from threadramp.policy.sample_length import LengthEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
     from threadramp.lots.model import Lot, Sample
-    from threadramp.policy.listing import Listing
+    from threadramp.policy.listing_policy import ListingPolicy
 
 MAX_CHUNK_CHARACTERS = 400_000  # of text in one chunk, so that a value stays below a megabyte
 
@@ -103,12 +103,12 @@
         lot: Lot,
         rules: LotRules,
         listed: Sequence[Result] = (),
-        lengths: Lengths | None = None,
-        listing: Listing | None = None,
+        lengths: LengthEstimator | None = None,
+        listing: ListingPolicy | None = None,
     ) -> None:
         self.lot = lot
         self.listing = listing or LISTINGS["at_once"]()
-        self.lengths = lengths or Lengths()
+        self.lengths = lengths or LengthEstimator()
         self.rules = rules
         self.listed: list[Result] = list(listed)
         self.ended = False
@@ -143,7 +143,7 @@
     def events_left(self, state: SampleState) -> float:
         """Return about how many events are still to come."""
         expected = state.sample.expected_tokens or state.sample.tokens
-        return self.lengths.left(expected, len(state.events))
+        return self.lengths.remaining_events(expected, len(state.events))
 
     def at_runner(self, runner: str) -> dict[str, int]:
         """Return the samples that a sidecar said it runs, with the events that are here."""
@@ -233,7 +233,7 @@
             return None
         state.runner = ""
         if outcome is RunOutcome.WHOLE:
-            self.lengths.ended(state.sample.expected_tokens, len(state.events))
+            self.lengths.add_sample(state.sample.expected_tokens, len(state.events))
             self._text_whole(state, now)
         elif outcome is RunOutcome.IMPOSSIBLE:  # one such answer is enough
             self._stage(state, ResultState.DEAD, "", now)
@@ -304,11 +304,11 @@
 
     def _flush_is_due(self, staged: list[SampleState], now: float) -> bool:
         ready = {group for group in self.groups if self._group_is_ready(group)}
-        unlisted = Unlisted(
+        unlisted = PendingResults(
             oldest_at=min(state.staged_at for state in staged),
-            completes=any(state.sample.group in ready for state in staged),
-            whole=len(ready),
-            wanted=self.lot.wanted_groups,
+            completes_group=any(state.sample.group in ready for state in staged),
+            complete_groups=len(ready),
+            wanted_groups=self.lot.wanted_groups,
             due=self.rules.due,
         )
         return self.listing.is_due(unlisted, now)
--- a/src/threadramp/core/sidecar.py
+++ b/src/threadramp/core/sidecar.py
@@ -14,7 +14,7 @@
 from threadramp.core.samples import SampleBuffer
 from threadramp.core.swap import Order, SwapRecord
 from threadramp.policy.reserve import RESERVES
-from threadramp.policy.routing import rank_share
+from threadramp.policy.routing import hash_fraction
 from threadramp.wire.messages import (
     CloseStep,
     EndpointReport,
@@ -91,7 +91,7 @@
         self.chain = Chain()
         self.marks = StepMarks()
         self.samples = SampleBuffer(self.marks)
-        share = rank_share(settings.endpoint)
+        share = hash_fraction(settings.endpoint)
         self.swap = SwapRecord(started_ms, share * settings.load_spread_s)
         self.freeze = FreezeDetector(settings.freeze_limit_s, now)
         self.admission = Admission(settings.slots, MAX_QUEUE, RESERVES[reserve]())
--- a/src/threadramp/core/step.py
+++ b/src/threadramp/core/step.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.progress import Place, SampleProgress
-from threadramp.policy.placement import Room
+from threadramp.policy.placement import EndpointCapacity
 from threadramp.wire.messages import SamplePayload, SampleSpec, StepPoll
 from threadramp.wire.seal import digest
 
@@ -256,9 +256,9 @@
                 submits.setdefault(room.endpoint, []).append(self._submit(sample, room))
         return submits
 
-    def _rooms(self) -> list[Room]:
+    def _rooms(self) -> list[EndpointCapacity]:
         return [
-            Room(
+            EndpointCapacity(
                 name,
                 endpoint.slots - len(endpoint.running),
                 len(endpoint.running),
@@ -268,7 +268,7 @@
             if endpoint.is_usable
         ]
 
-    def _submit(self, sample: SampleProgress, room: Room) -> SampleSpec:
+    def _submit(self, sample: SampleProgress, room: EndpointCapacity) -> SampleSpec:
         sample.last_attempt += 1
         room.free -= 1
         room.load += 1
--- a/src/threadramp/duties/collecting.py
+++ b/src/threadramp/duties/collecting.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from threadramp.policy.usage_book import KEPT_WINDOWS, UsageBook, UsageTable
+from threadramp.policy.usage_windows import RETAINED_WINDOWS, UsageTotals, UsageWindows
 from threadramp.wire.fleet import ReadUsage, UsageCounts
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, window_s: float, true_time: TrueTime, box: str, incarnation: str) -> None:
-        self.book = UsageBook(window_s)
+        self.book = UsageWindows(window_s)
         self.true_time = true_time
         self.box = box
         self.incarnation = incarnation
@@ -76,9 +76,11 @@
     def answer(self, ask: ReadUsage) -> UsageCounts:
         """Tell a collector what changed since it asked last; it also tells what time it is."""
         now = self.true_time.clock.now()
-        self.true_time.note(ask.sender, ask.true_time, now)
+        self.true_time.add_reading(ask.sender, ask.true_time, now)
         seen = ask.seen if ask.incarnation == self.incarnation else 0
-        is_sure = self.true_time.is_sure()  # before its windows are read: others tell at any time
+        is_sure = (
+            self.true_time.is_reliable()
+        )  # before its windows are read: others tell at any time
         changes, windows = self.changed_since(seen)
         time_of_day = self.true_time.clock.time_of_day()
         return UsageCounts(
@@ -115,7 +117,7 @@
         self.peers = peers
         self.counting = counting
         self.true_time = true_time
-        self.table = UsageTable(counting.book.window_s)
+        self.table = UsageTotals(counting.book.window_s)
         self.incarnations: dict[str, str] = {}
         self.unanswered: dict[str, int] = {}
         self.opened: dict[str, Open] = {}
@@ -133,7 +135,7 @@
             reply = replies.get(member.address)
             if isinstance(reply, UsageCounts) and reply.box == member.name:
                 self.unanswered.pop(member.name, None)
-                self.true_time.note(reply.box, reply.time_of_day, middle)
+                self.true_time.add_reading(reply.box, reply.time_of_day, middle)
                 told.append(reply)
             else:
                 self.unanswered[member.name] = self.unanswered.get(member.name, 0) + 1
@@ -151,9 +153,9 @@
 
         Also where this gateway collects beside the holder and reports nothing itself.
         """
-        oldest = self.counting.book.window_at(self.true_time.now()) - KEPT_WINDOWS
+        oldest = self.counting.book.window_at(self.true_time.now()) - RETAINED_WINDOWS
         with self.lock:
-            self.table.forget_before(oldest)
+            self.table.drop_before(oldest)
             self.opened = {name: row for name, row in self.opened.items() if name in names}
 
     def take(self, told: UsageCounts, asked_at: float) -> None:
@@ -165,12 +167,12 @@
             self.incarnations[told.box] = told.incarnation
             self.opened[told.box] = told.open
             at = asked_at if told.is_sure else NEVER
-            self.table.note(told.box, told.incarnation, told.changes, told.windows, at)
+            self.table.merge(told.box, told.incarnation, told.changes, told.windows, at)
 
     def all_told(self, since: float) -> bool:
         """Return whether all gateways that are there answered after a true time."""
         with self.lock:
-            return all(self.table.heard_after(name, since) for name in self._expected())
+            return all(self.table.has_answered_after(name, since) for name in self._expected())
 
     def total(self, window: int) -> dict[str, int]:
         """Return the counts of a window."""
@@ -198,7 +200,7 @@
     def _take_own(self, asked_at: float) -> None:
         counting = self.counting
         seen = self.table.seen(counting.box, counting.incarnation)
-        is_sure = self.true_time.is_sure()
+        is_sure = self.true_time.is_reliable()
         changes, windows = counting.changed_since(seen)
         own = UsageCounts(
             counting.box, counting.incarnation, changes, windows, 0.0, counting.open(), is_sure
--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from threadramp.fleet.picture import Belief, Picture
     from threadramp.lots.owned import OwnedLots
-    from threadramp.policy.endpoint_choice import EndpointChoice
+    from threadramp.policy.endpoint_choice import EndpointSelector
 
 Open = dict[str, dict[str, float]]  # by pool and data centre
 
@@ -18,7 +18,7 @@
 class DemandCounting:
     """Counts open requests of callers, and samples that run or wait."""
 
-    def __init__(self, picture: Picture, choice: EndpointChoice, owned: OwnedLots) -> None:
+    def __init__(self, picture: Picture, choice: EndpointSelector, owned: OwnedLots) -> None:
         self.picture = picture
         self.choice = choice
         self.owned = owned
@@ -38,7 +38,7 @@
     def _calls(self, pool: str, belief: Belief) -> Counter[str]:
         row: Counter[str] = Counter()
         for endpoint in belief.in_pool(pool):
-            row[endpoint.data_centre] += self.choice.open_at(endpoint)
+            row[endpoint.data_centre] += self.choice.open_requests(endpoint)
         return row
 
     def _add_samples(self, found: dict[str, Counter[str]], belief: Belief) -> None:
--- a/src/threadramp/duties/turns.py
+++ b/src/threadramp/duties/turns.py
@@ -8,7 +8,12 @@
 
 from threadramp.duties.collecting import ASK_TIMEOUT_S
 from threadramp.platform.store_model import StoreError
-from threadramp.policy.duty_share import COLLECTORS, collects, in_order, may_take
+from threadramp.policy.duty_assignment import (
+    COLLECTORS,
+    is_collector,
+    may_take_over,
+    succession_order,
+)
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import Done, UsageCounts, UsageLeft
@@ -66,7 +71,7 @@
             if holder == self._me:  # what a process of this box took before is learned that way
                 return True
         unanswered = self.collecting.unanswered
-        return may_take(self._me, holder, self._names(), unanswered, self.answered)
+        return may_take_over(self._me, holder, self._names(), unanswered, self.answered)
 
     def leave(self) -> None:
         """Hand the duties to the gateway that they fall to next; for a planned stop.
@@ -80,7 +85,7 @@
         if not self.holding.is_mine():
             return
         unanswered = self.collecting.unanswered
-        heirs = [name for name in in_order(self._names()) if name not in unanswered]
+        heirs = [name for name in succession_order(self._names()) if name not in unanswered]
         heirs = [name for name in heirs if name != self._me]
         try:
             self.holding.right.give_to(heirs[0] if heirs else "")
@@ -90,7 +95,7 @@
     def turn(self) -> None:
         """Collect, and report what is due, where that falls to this gateway."""
         holder = self.holding.holder()
-        if not collects(self._me, holder, self._names()):
+        if not is_collector(self._me, holder, self._names()):
             return
         self.answered = self.collecting.round()
         if self.leaving or not (self.holding.right.number or self.may_take(None)):
@@ -138,7 +143,7 @@
 
     def _collectors(self) -> list[Member]:
         """Return the other gateways that collect."""
-        names = {self.holding.holder(), *in_order(self._names())[:COLLECTORS]}
+        names = {self.holding.holder(), *succession_order(self._names())[:COLLECTORS]}
         return [one for one in self.peers.gateways() if one.name in names]
 
     @property
--- a/src/threadramp/duties/usage_reports.py
+++ b/src/threadramp/duties/usage_reports.py
@@ -16,7 +16,7 @@
 from threadramp.duties.proof import RecentProof
 from threadramp.platform.duty_calls import DutyOutcome
 from threadramp.platform.store_model import ABSENT, Committed, Put, StoreError, Transaction
-from threadramp.policy.usage_book import KEPT_WINDOWS
+from threadramp.policy.usage_windows import RETAINED_WINDOWS
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
         }
         # Others have told by now what the time is; its own clock may have been off at the start.
         began = self.true_time.at(self.began)
-        self.next_window = self.schedule.first(list(fixed), began, now)
+        self.next_window = self.schedule.first_window(list(fixed), began, now)
         self.number = number
         log_state(
             "usage_taken_up",
@@ -93,9 +93,9 @@
 
     def _fix_ready(self) -> None:
         now = self.true_time.now()
-        while now >= self.schedule.settled(self.next_window):
+        while now >= self.schedule.final_at(self.next_window):
             window = self.next_window
-            told = self.collecting.all_told(self.schedule.settled(window))
+            told = self.collecting.all_told(self.schedule.final_at(window))
             if not self.schedule.is_ready(window, now, told):
                 return
             self._fix(window, told)
@@ -108,7 +108,7 @@
         counts = self.collecting.total(window)
         key = f"{FIXED_PREFIX}{window}"
         expected = {self.right.key: self.number, key: ABSENT}
-        old = f"{FIXED_PREFIX}{window - KEPT_WINDOWS}"
+        old = f"{FIXED_PREFIX}{window - RETAINED_WINDOWS}"
         put = Put(key, msgspec.msgpack.encode(counts))
         asked_at = self.right.clock.now()
         answer = self.store.transact(Transaction(expected, (put,), (old,)), repeatable=True)
@@ -158,7 +158,7 @@
             self.right.doubt()
 
     def _is_over(self, window: int) -> bool:
-        return self.schedule.is_over(window, self.true_time.now())
+        return self.schedule.is_abandoned(window, self.true_time.now())
 
 
 def _read(value: bytes) -> dict[str, int]:
--- a/src/threadramp/edge/attempts.py
+++ b/src/threadramp/edge/attempts.py
@@ -12,8 +12,8 @@
 from threadramp.edge.signs import Signs
 from threadramp.edge.tries import Tries
 from threadramp.platform.headers import to_endpoint
-from threadramp.policy.connection_share import idle_share
 from threadramp.policy.crash_tracker import Assessment, CrashTracker, SuspicionLevel
+from threadramp.policy.idle_connections import max_idle_connections
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     from threadramp.fleet.model import Endpoint, Start
     from threadramp.fleet.picture import Picture
     from threadramp.platform.headers import AnswerHead
-    from threadramp.policy.endpoint_choice import EndpointChoice
+    from threadramp.policy.endpoint_choice import EndpointSelector
     from threadramp.policy.retries import RetryBudget
 
 REJECTED_PAUSE_S = 0.03  # before an endpoint that was full is asked again
@@ -47,7 +47,7 @@
         self,
         picture: Picture,
         connections: Connections,
-        choice: EndpointChoice,
+        choice: EndpointSelector,
         budget: RetryBudget,
         clock: Clock,
         guard: CrashGuard | None = None,
@@ -65,13 +65,13 @@
         """Drop what is kept of starts that are not listed any more."""
         starts = {one.start for one in self.picture.belief.endpoints.values()}
         self.connections.forget(starts)
-        self.choice.forget(starts)
+        self.choice.retain(starts)
 
     def keep(self, exchange: Exchange, answer: Answer) -> None:
         """Keep a connection for the next request, within this gateway's share."""
         belief = self.picture.belief
         pool = belief.pool(exchange.endpoint.pool)
-        most = idle_share(pool.max_connections, len(belief.gateways()))
+        most = max_idle_connections(pool.max_connections, len(belief.gateways()))
         self.connections.keep(exchange, answer, self.clock.now(), most)
 
 
@@ -89,7 +89,7 @@
         self.job = job
         self.now = parts.clock.now
         self.tries = Tries()
-        self.pool = parts.choice.pool_for(job.route)
+        self.pool = parts.choice.choose_pool(job.route)
         self.holding = Holding(parts.guard, job)
 
     def run(self) -> Outcome:
@@ -99,7 +99,7 @@
         admitted = self.holding.admit()
         if admitted.level is SuspicionLevel.REFUSED:
             return Outcome(Ending.NOT_RUN, retry_after_s=admitted.retry_after_s)
-        self.parts.budget.first_attempt()
+        self.parts.budget.record_first_attempt()
         try:
             while True:
                 outcome = self._turn()
@@ -183,12 +183,12 @@
         except ExchangeError as error:
             self.endpoint_failed(endpoint, error, ran=False)
             return
-        self.parts.choice.began(endpoint)
+        self.parts.choice.request_started(endpoint)
         headers = self.headers(left, endpoint.instance)
         try:
             exchange.send(self.job.method, self.job.target, headers, self.job.body)
         except ExchangeError as error:
-            self.parts.choice.finished(endpoint)
+            self.parts.choice.request_finished(endpoint)
             self.endpoint_failed(endpoint, error, ran=not exchange.reused)
             return
         self.tries.open.append(exchange)
@@ -210,7 +210,7 @@
     def closed(self, exchange: Exchange) -> None:
         """Note that an exchange is over."""
         self.tries.open.remove(exchange)
-        self.parts.choice.finished(exchange.endpoint)
+        self.parts.choice.request_finished(exchange.endpoint)
 
     def close_all(self) -> None:
         """Close the exchanges that are still open; most endpoints then drop the request."""
@@ -246,7 +246,7 @@
         if error.stale:
             self._connection_stale(endpoint, error, ran)
         else:
-            pause = self.parts.choice.failed(endpoint, self.now())
+            pause = self.parts.choice.record_failure(endpoint, self.now())
             self.note_failure(endpoint, error, ran, pause)
 
     def _has_ended(self, endpoint: Endpoint, error: ExchangeError) -> bool:
@@ -255,7 +255,7 @@
             self.now() - self.tries.sent_at[endpoint.start],
             error.stale,
             sum(one.endpoint.start == endpoint.start for one in self.tries.open),
-            lambda: self.parts.choice.open_at(endpoint),
+            lambda: self.parts.choice.open_requests(endpoint),
         )
         if not self.parts.guard.broke(self.job, endpoint, signs):
             return False
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -20,7 +20,7 @@
 from threadramp.edge.signs import Breaking, Look, timed_look
 from threadramp.policy.crash_tracker import NO_SUSPICION, Assessment, SuspicionLevel
 from threadramp.policy.fingerprint import short_fingerprint
-from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_ended
+from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_crashed
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -116,7 +116,7 @@
         with self.breaking.looked_at(endpoint.start, signs):
             look = self._look_at(endpoint)
             listens = look.state is EndpointState.BREAKS
-            held = listens and may_have_ended(self._break_of(endpoint, signs, look))
+            held = listens and may_have_crashed(self._break_of(endpoint, signs, look))
         log_state(
             "connection_broken",
             request=job.request_id,
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -10,7 +10,7 @@
 from threadramp.edge.job import Ending, Outcome, has_ended
 from threadramp.platform.headers import read_answer
 from threadramp.policy.crash_tracker import SuspicionLevel
-from threadramp.policy.endpoint_choice import SECOND_AFTER
+from threadramp.policy.endpoint_choice import HEDGE_AFTER_SHARE
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     def send(self, endpoint: Endpoint, on_new: bool = False) -> None:
         """Send to an endpoint; a second one is asked if it is late."""
         super().send(endpoint, on_new)
-        self.second_at = self.now() + self.job.route.target_s * SECOND_AFTER
+        self.second_at = self.now() + self.job.route.target_s * HEDGE_AFTER_SHARE
 
     def await_answer(self) -> Outcome | None:
         """Wait for an answer, the caller's end, or the time for a second try."""
@@ -157,7 +157,7 @@
         unsigned = 200 <= head.status < 300 and not head.signature
         if unsigned or head.status >= 500:
             return self._failed_answer(endpoint, answer, unsigned)
-        self.parts.choice.answered(endpoint, head.load, self.now())
+        self.parts.choice.record_success(endpoint, head.load, self.now())
         return Outcome(Ending.ANSWERED, answer)
 
     def _failed_answer(self, endpoint: Endpoint, answer: Answer, unsigned: bool) -> Outcome | None:
@@ -166,7 +166,9 @@
             return None
         self.tries.last_failure = answer
         error = ExchangeError(True, f"status {answer.head.status}")
-        self.note_failure(endpoint, error, True, self.parts.choice.erred(endpoint, self.now()))
+        self.note_failure(
+            endpoint, error, True, self.parts.choice.record_server_error(endpoint, self.now())
+        )
         return None if self.job.repeats_errors else Outcome(Ending.ANSWERED, answer)
 
 
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -28,7 +28,7 @@
     read_lot,
     results_body,
 )
-from threadramp.policy.callers import Caller, who_calls
+from threadramp.policy.callers import Caller, identify_caller
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -121,9 +121,9 @@
         if body is None:
             return
         if route.kind is RouteKind.SAMPLES:
-            self._hand_in(request, who.ranked(route), body, who)
+            self._hand_in(request, who.with_priority(route), body, who)
         else:
-            self._forward(request, who.ranked(route), body, started, who)
+            self._forward(request, who.with_priority(route), body, started, who)
 
     def _who(
         self, request: CallerRequest, configuration: Configuration, public: bool
@@ -132,7 +132,7 @@
 
         :param public: whether no key is needed
         """
-        found = who_calls(configuration.organisations, caller_key(request.headers), public)
+        found = identify_caller(configuration.organisations, caller_key(request.headers), public)
         if isinstance(found, Caller):
             return found if self._may_trust(request, found) else None
         log_state(
--- a/src/threadramp/edge/job.py
+++ b/src/threadramp/edge/job.py
@@ -10,7 +10,7 @@
 
 from threadramp.edge.connections import is_readable
 from threadramp.platform.headers import caller_of
-from threadramp.policy.callers import ANYBODY
+from threadramp.policy.callers import UNIDENTIFIED
 from threadramp.policy.fingerprint import fingerprint
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     until: float
     caller: socket.socket | None = None
     repeats_errors: bool = True
-    who: Caller = ANYBODY
+    who: Caller = UNIDENTIFIED
 
     @cached_property
     def fingerprint(self) -> bytes:
--- a/src/threadramp/edge/streaming.py
+++ b/src/threadramp/edge/streaming.py
@@ -148,7 +148,7 @@
         self.stream.pass_events(exchange, response, self._patience_s)
         self.holding.answered(exchange.endpoint.start)
         self.parts.keep(exchange, streamed_answer(response))
-        self.parts.choice.answered(exchange.endpoint, head.load, self.now())
+        self.parts.choice.record_success(exchange.endpoint, head.load, self.now())
         return Outcome(Ending.STREAMED)
 
     def _other_answer(
@@ -161,7 +161,7 @@
         if 200 <= head.status < 300 and not head.signature:
             raise StreamBrokenError(exchange.endpoint.instance, "no signature")
         if head.status >= 500:
-            pause = self.parts.choice.erred(exchange.endpoint, self.now())
+            pause = self.parts.choice.record_server_error(exchange.endpoint, self.now())
             reason = ExchangeError(True, f"status {head.status}")
             self.note_failure(exchange.endpoint, reason, True, pause)
             self.tries.last_failure = answer
--- a/src/threadramp/fleet/facts.py
+++ b/src/threadramp/fleet/facts.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from threadramp.fleet.picture import HOST_ROLE
-from threadramp.policy.model_share import is_shared, model_share
+from threadramp.policy.load_schedule import holds_all_models, load_schedule
 from threadramp.wire.runner import Facts
 
 if TYPE_CHECKING:
@@ -41,9 +41,9 @@
     if endpoint is None:
         return True  # it may be listed in a moment; until then it takes nothing
     place = belief.places[endpoint.address]
-    if is_shared(place.engines):
+    if holds_all_models(place.engines):
         return True
-    share = model_share(place.rank, place.engines, belief.pool(endpoint.pool).models)
+    share = load_schedule(place.rank, place.engines, belief.pool(endpoint.pool).models)
     return not models.isdisjoint(share.shifts)
 
 
@@ -51,7 +51,7 @@
     """Add what is known of the sidecar's endpoint and its place in its pool."""
     pool = belief.pool(endpoint.pool)
     place = belief.places[endpoint.address]
-    share = model_share(place.rank, place.engines, pool.models)
+    share = load_schedule(place.rank, place.engines, pool.models)
     return msgspec.structs.replace(
         facts,
         instance=endpoint.instance,
--- a/src/threadramp/fleet/following.py
+++ b/src/threadramp/fleet/following.py
@@ -14,7 +14,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.policy.watch_share import leaders_of, watchers_in
+from threadramp.policy.watcher_assignment import watchers_in, watchers_to_follow
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 
     def leaders(self) -> list[Member]:
         """Return the gateways that this one may follow, its own data centre's watcher first."""
-        return leaders_of(self.member.data_centre, self.picture.belief.gateways())
+        return watchers_to_follow(self.member.data_centre, self.picture.belief.gateways())
 
     def hears_at_once(self) -> bool:
         """Return whether a watcher that tells this gateway what changes had a way lately."""
--- a/src/threadramp/fleet/membership.py
+++ b/src/threadramp/fleet/membership.py
@@ -8,7 +8,7 @@
 from threadramp.fleet.picture import MEMBER_PREFIX
 from threadramp.lots.model import encode
 from threadramp.platform.store_model import LeaseGone, Put, StoreError, Transaction
-from threadramp.policy.renewals import LEASE_RENEWALS, LEAST_S
+from threadramp.policy.renewals import MIN_RENEWAL_S, RENEWALS_PER_LEASE
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
 
@@ -19,7 +19,7 @@
     from threadramp.platform.store import StoreClient
 
 LEASE_S = 3.0  # the shortest: a dead process is noticed after this
-RENEW_S = LEAST_S
+RENEW_S = MIN_RENEWAL_S
 WATCHER_RENEW_S = 0.4  # of a gateway that others follow: they must know that it has a way
 
 
@@ -59,14 +59,14 @@
 
     def pause_s(self) -> float:
         """Return the seconds until the next renewal, within the lease that is held."""
-        return min(self.renew_s(), self.granted_s / LEASE_RENEWALS or RENEW_S)
+        return min(self.renew_s(), self.granted_s / RENEWALS_PER_LEASE or RENEW_S)
 
     def turn(self) -> None:
         """Renew the lease; grant one and write the entry where that is needed.
 
         :raises StoreError: if no answer came
         """
-        wanted_s = max(self.lease_s, LEASE_RENEWALS * self.renew_s())
+        wanted_s = max(self.lease_s, RENEWALS_PER_LEASE * self.renew_s())
         if wanted_s > self.granted_s:
             self.lease = 0  # the one that is held runs out by itself
         if self.lease and not self.store.renew_lease(self.lease):
--- a/src/threadramp/fleet/runner_members.py
+++ b/src/threadramp/fleet/runner_members.py
@@ -8,7 +8,7 @@
 
 from threadramp.fleet.facts import serves_any
 from threadramp.fleet.picture import HOST_ROLE
-from threadramp.policy.engine_host import host_of
+from threadramp.policy.engine_host import gateway_for_engine
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
             waits = engine.address not in listed
             if waits and now - self.bare_since[engine.address] < NOT_LISTED_S:
                 continue
-            host = host_of(engine.address, engine.data_centre, gateways, not_answering)
+            host = gateway_for_engine(engine.address, engine.data_centre, gateways, not_answering)
             if host is None:
                 log_state("engine_has_nobody", engine=engine.address)
                 continue
--- a/src/threadramp/gateway/state.py
+++ b/src/threadramp/gateway/state.py
@@ -15,7 +15,7 @@
 from threadramp.fleet.clock import steady_s
 from threadramp.gateway.configuration import Configuration
 from threadramp.platform.kv import KvClient
-from threadramp.policy.locality import in_region
+from threadramp.policy.locality import prefer_region
 from threadramp.policy.retries import RetryBudget, TokenBucket
 from threadramp.policy.routing import ROUTINGS
 from threadramp.policy.subset import gateway_subset
@@ -127,7 +127,7 @@
     def candidates(self, pool: str) -> Sequence[Member]:
         """Return those to which a new call may go: in the own region while it has room."""
         data_centres = self.chain.of_kind("data_centre")
-        return in_region(self.available(pool), self.settings.data_centre, data_centres)
+        return prefer_region(self.available(pool), self.settings.data_centre, data_centres)
 
     def opened(self, endpoint: str, change: int) -> None:
         """Count a call to an endpoint that begins (1) or ends (-1)."""
--- a/src/threadramp/lots/hurrying.py
+++ b/src/threadramp/lots/hurrying.py
@@ -1,10 +1,10 @@
-"""Asks for loads where samples wait that no engine can run; ``policy/hurry.py`` says of whom."""
+"""Asks for loads where samples wait that no engine can run, by ``policy/urgent_loads.py``."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from threadramp.policy.hurry import engines_to_hurry
+from threadramp.policy.urgent_loads import engines_for_urgent_load
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import HurryLoad
 
@@ -37,7 +37,7 @@
         asks = [
             (view.member, HurryLoad(*self.peers.myself, model, view.member.endpoint))
             for model, min_version in self._waiting(now)
-            for view in engines_to_hurry(views, model, min_version, now)
+            for view in engines_for_urgent_load(views, model, min_version, now)
         ]
         if not asks:
             return
--- a/src/threadramp/lots/moving.py
+++ b/src/threadramp/lots/moving.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.lot_book import Phase
-from threadramp.policy.moves import RunningSample, to_faster
+from threadramp.policy.moves import RunningSample, samples_to_move
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         with self.owned.lock:
             running = [one for lot in self.owned.open() for one in _running(lot, views)]
         moved: dict[tuple[str, str], list[str]] = {}
-        for one in to_faster(running, list(views.values()), self.clock.now()):
+        for one in samples_to_move(running, list(views.values()), self.clock.now()):
             moved.setdefault((one.lot, one.runner), []).append(one.sample)
         for (lot_id, runner), samples in moved.items():
             lot = self.owned.get(lot_id)
@@ -72,8 +72,8 @@
             model=book.lot.model,
             min_version=book.lot.min_version,
             runner=state.runner,
-            here=len(state.events) - state.events_before,
-            left=book.events_left(state),
+            events_here=len(state.events) - state.events_before,
+            events_left=book.events_left(state),
         )
         for name, state in book.states.items()
         if state.phase is Phase.RUNNING and state.confirmed and state.runner in views
--- a/src/threadramp/lots/news.py
+++ b/src/threadramp/lots/news.py
@@ -40,8 +40,8 @@
     def heard(self, view: RunnerView, status: RunnerStatus) -> None:
         """Note that a sidecar answered, and what it says of itself."""
         view.status = status
-        view.taken = status.taken
-        view.heard = self.clock.now()
+        view.assigned = status.taken
+        view.last_answer_at = self.clock.now()
 
     def take(self, view: RunnerView, lots: list[OwnedLot], reply: Updates) -> None:
         """Note the news that a sidecar gave; lots in ``lots`` alone are looked at."""
@@ -78,7 +78,7 @@
                     reason=reason,
                     lot=lot.lot_id,
                     samples=lost,
-                    silent_s=round(now - view.heard, 2),
+                    silent_s=round(now - view.last_answer_at, 2),
                 )
                 self.owned.work.set()
 
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -13,8 +13,8 @@
 from threadramp.lots.model import KeptLot, LotHead
 from threadramp.lots.owned import OwnedLot
 from threadramp.platform.store_model import StoreError
-from threadramp.policy.lengths import Lengths
 from threadramp.policy.routing import rendezvous
+from threadramp.policy.sample_length import LengthEstimator
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import Adopt
 
@@ -29,7 +29,7 @@
     from threadramp.lots.journal import LotJournal
     from threadramp.lots.model import KeptHead, Lot, SavedText
     from threadramp.lots.owned import OwnedLots
-    from threadramp.policy.listing import Listing
+    from threadramp.policy.listing_policy import ListingPolicy
 
 GIVE_UP_MARGIN_S = 1.0  # after the time at which a sample may be given up
 CLOCK_SKEW_S = 6.0  # by which the times of day of two boxes may differ, or one may have jumped
@@ -55,7 +55,7 @@
         drop: Callable[[OwnedLot, bool], None],
         checkpoints: Checkpoints,
         tell_end: Callable[[KeptHead], None],
-        listing: Listing | None = None,
+        listing: ListingPolicy | None = None,
     ) -> None:
         self.owned = owned
         self.journal = journal
@@ -66,7 +66,7 @@
         self.tell_end = tell_end
         self.listing = listing
         self.texts = KeptTexts()
-        self.lengths: dict[str, Lengths] = {}
+        self.lengths: dict[str, LengthEstimator] = {}
         self.stopped = threading.Event()
         self.leaving = False
         self.ends = LatestEnds()
@@ -279,9 +279,9 @@
         if end is not None:
             self.ended_elsewhere(end)
 
-    def _lengths_of(self, lot: Lot) -> Lengths:
+    def _lengths_of(self, lot: Lot) -> LengthEstimator:
         """Return what was learned of the lengths of a model's samples."""
-        return self.lengths.setdefault(lot.model, Lengths())
+        return self.lengths.setdefault(lot.model, LengthEstimator())
 
     def _rules_again(self, kept: KeptHead) -> LotRules:
         """Return the rules of a lot that was handed in some time ago, perhaps at another box.
--- a/src/threadramp/lots/runners.py
+++ b/src/threadramp/lots/runners.py
@@ -11,7 +11,7 @@
 from threadramp.lots.hurrying import HurriedLoads
 from threadramp.lots.moving import SampleMoves
 from threadramp.lots.news import RunnerNews
-from threadramp.policy.sample_placement import RunnerView, place
+from threadramp.policy.sample_placement import RunnerView, choose_runner
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import (
@@ -108,7 +108,7 @@
             for name, member in members.items():
                 view = self.views.get(name)
                 if view is None or view.member.address != member.address:
-                    self.views[name] = RunnerView(member, since=self.clock.now())
+                    self.views[name] = RunnerView(member, first_asked_at=self.clock.now())
                 else:
                     view.member = member
                 self._start_collector(name)
@@ -119,7 +119,8 @@
         late = [
             view
             for name, view in list(self.views.items())
-            if name in self.collectors and now - max(view.heard, view.since) > LOST_AFTER_S
+            if name in self.collectors
+            and now - max(view.last_answer_at, view.first_asked_at) > LOST_AFTER_S
         ]
         for view in late:
             if view.status is not None:
@@ -176,7 +177,7 @@
     def _silent(self, view: RunnerView, lots: list[OwnedLot]) -> None:
         """Count a sidecar that does not answer as lost once its samples must have stopped."""
         now = self.clock.now()
-        if now - view.heard > LOST_AFTER_S:
+        if now - view.last_answer_at > LOST_AFTER_S:
             self.news.lose(view, lots, "silent")
         self.stopped.wait(SILENT_PAUSE_S)
 
@@ -244,12 +245,12 @@
             for name, avoid in waiting:
                 near = self.peers.data_centre
                 able = self.samples.open_to(lot, name, views)
-                view = place(able, wanted.model, wanted.min_version, near, avoid, now)
+                view = choose_runner(able, wanted.model, wanted.min_version, near, avoid, now)
                 if view is None and able is views:
                     break
                 if view is None or not self.samples.admit(lot, name, view.member.name, now):
                     continue
-                view.taken += 1
+                view.assigned += 1
                 batches.setdefault(view.member.name, []).append((lot, name))
         return batches
 
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -9,7 +9,7 @@
 from threadramp.core.lot_book import Phase
 from threadramp.edge.job import Ending, Job
 from threadramp.platform.headers import reward_headers
-from threadramp.policy.callers import ANYBODY, NOBODY
+from threadramp.policy.callers import ANONYMOUS, UNIDENTIFIED
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
             route=route,
             until=self.clock.now() + CALL_S,
             repeats_errors=False,  # they are counted, and the sample is given up after a few
-            who=ANYBODY if configuration.organisations is None else NOBODY,
+            who=UNIDENTIFIED if configuration.organisations is None else ANONYMOUS,
         )
         return self.forwarder.run(job), route
 
--- a/src/threadramp/policy/callers.py
+++ b/src/threadramp/policy/callers.py
@@ -30,18 +30,18 @@
     organisation: str | None = None
     priority: int | None = None
 
-    def ranked(self, route: Route) -> Route:
+    def with_priority(self, route: Route) -> Route:
         """Return a route as it is for this caller: its priority goes before the route's."""
         if self.priority in (None, route.priority):
             return route
         return replace(route, priority=self.priority)
 
 
-ANYBODY = Caller()  # where the configuration names no organisations
-NOBODY = Caller("")  # without a key, on a public route
+UNIDENTIFIED = Caller()  # where the configuration names no organisations
+ANONYMOUS = Caller("")  # without a key, on a public route
 
 
-def who_calls(
+def identify_caller(
     organisations: Organisations | None, key: bytes | None, public: bool
 ) -> Caller | Denial:
     """Return who calls, or why it is turned away.
@@ -54,12 +54,12 @@
     :param public: whether no key is needed
     """
     if organisations is None:
-        return ANYBODY
+        return UNIDENTIFIED
     holder = organisations.holder(key) if key else None
     if holder is not None:
         return _caller(holder)
     if public:
-        return NOBODY
+        return ANONYMOUS
     return Denial.NO_KEY if key is None else Denial.UNKNOWN_KEY
 
 
@@ -67,4 +67,4 @@
     return Caller(organisation.name, organisation.priority)
 
 
-__all__ = ["ANYBODY", "NOBODY", "Caller", "Denial", "who_calls"]
+__all__ = ["UNIDENTIFIED", "ANONYMOUS", "Caller", "Denial", "identify_caller"]
--- a/src/threadramp/policy/endpoint_choice.py
+++ b/src/threadramp/policy/endpoint_choice.py
@@ -17,7 +17,9 @@
 SUSPEND_MOST_S = 4.0
 ERRORS_UNTIL_SUSPEND = 3  # answers 500 in a row; a single one may be the request's own fault
 LOAD_AGE_S = 0.5  # a load that was told longer ago is not believed
-SECOND_AFTER = 0.5  # share of the route's target after which a repeatable request is sent again
+HEDGE_AFTER_SHARE = (
+    0.5  # share of the route's target after which a repeatable request is sent again
+)
 
 
 @dataclass
@@ -32,7 +34,7 @@
     load_at: float = 0.0
 
 
-class EndpointChoice:
+class EndpointSelector:
     """Two choices on own counts and told load; endpoints that just failed come last.
 
     :param random: a seeded source
@@ -43,7 +45,7 @@
         self.records: dict[Start, EndpointRecord] = {}
         self.lock = threading.Lock()
 
-    def pool_for(self, route: Route) -> str:
+    def choose_pool(self, route: Route) -> str:
         """Return the pool for one request of a route, by weight."""
         shares = [share for share in route.shares if share.weight > 0] or list(route.shares)
         if len(shares) == 1:
@@ -63,23 +65,23 @@
             pair = self.random.sample(sound or fresh, min(2, len(sound or fresh)))
             return min(pair, key=lambda one: self._expected(one, now))
 
-    def began(self, endpoint: Endpoint) -> None:
+    def request_started(self, endpoint: Endpoint) -> None:
         """Count a request that was sent."""
         with self.lock:
             self._record(endpoint).open += 1
 
-    def finished(self, endpoint: Endpoint) -> None:
+    def request_finished(self, endpoint: Endpoint) -> None:
         """Count a request that is over."""
         with self.lock:
             record = self._record(endpoint)
             record.open = max(0, record.open - 1)
 
-    def open_at(self, endpoint: Endpoint) -> int:
+    def open_requests(self, endpoint: Endpoint) -> int:
         """Return the requests of this process that are open at an endpoint."""
         with self.lock:
             return self._record(endpoint).open
 
-    def answered(self, endpoint: Endpoint, load: EndpointLoad | None, now: float) -> None:
+    def record_success(self, endpoint: Endpoint, load: EndpointLoad | None, now: float) -> None:
         """Note a sound answer with the load that it told."""
         with self.lock:
             record = self._record(endpoint)
@@ -90,7 +92,7 @@
                 record.load = load
                 record.load_at = now
 
-    def failed(self, endpoint: Endpoint, now: float) -> float:
+    def record_failure(self, endpoint: Endpoint, now: float) -> float:
         """Note a failure; returns the seconds for which others are preferred."""
         with self.lock:
             record = self._record(endpoint)
@@ -99,15 +101,15 @@
             record.suspended_until = now + pause
             return pause
 
-    def erred(self, endpoint: Endpoint, now: float) -> float:
+    def record_server_error(self, endpoint: Endpoint, now: float) -> float:
         """Note an answer 500; returns the seconds for which others are preferred."""
         with self.lock:
             record = self._record(endpoint)
             record.errors += 1
             errors = record.errors
-        return self.failed(endpoint, now) if errors >= ERRORS_UNTIL_SUSPEND else 0.0
+        return self.record_failure(endpoint, now) if errors >= ERRORS_UNTIL_SUSPEND else 0.0
 
-    def forget(self, starts: Collection[Start]) -> None:
+    def retain(self, starts: Collection[Start]) -> None:
         """Drop what is known of all starts but these."""
         with self.lock:
             for gone in [one for one in self.records if one not in starts]:
@@ -126,4 +128,4 @@
         return max(record.open, told) / slots
 
 
-__all__ = ["SECOND_AFTER", "EndpointChoice", "EndpointRecord"]
+__all__ = ["HEDGE_AFTER_SHARE", "EndpointSelector", "EndpointRecord"]
--- a/src/threadramp/policy/engine_host.py
+++ b/src/threadramp/policy/engine_host.py
@@ -20,19 +20,19 @@
     from threadramp.fleet.picture import Member
 
 
-def host_of(
-    engine: str, data_centre: str, gateways: Iterable[Member], silent: Collection[str] = ()
+def gateway_for_engine(
+    engine: str, data_centre: str, gateways: Iterable[Member], unresponsive: Collection[str] = ()
 ) -> Member | None:
     """Return the gateway that stands in for an engine's sidecar, none if no gateway is left.
 
     :param engine: its address
     :param data_centre: in which it stands; where no gateway lives there, any other does
-    :param silent: names of gateways that do not answer
+    :param unresponsive: names of gateways that do not answer
     """
-    living = {one.name: one for one in gateways if one.name not in silent}
+    living = {one.name: one for one in gateways if one.name not in unresponsive}
     near = [name for name, one in living.items() if one.data_centre == data_centre]
     chosen = rendezvous(engine, sorted(near or living))
     return living[chosen[0]] if chosen else None
 
 
-__all__ = ["host_of"]
+__all__ = ["gateway_for_engine"]
--- a/src/threadramp/policy/connection_share.py
+++ b/src/threadramp/policy/idle_connections.py
@@ -6,7 +6,7 @@
 KEPT_SHARE = 0.5  # of what an endpoint accepts; the rest is for connections in use and for bursts
 
 
-def idle_share(max_connections: int, gateways: int) -> int:
+def max_idle_connections(max_connections: int, gateways: int) -> int:
     """Return how many idle connections to one endpoint this gateway may keep, at least one.
 
     :param max_connections: that the endpoint accepts from all callers together
@@ -16,4 +16,4 @@
     return max(1, min(MOST, fair))
 
 
-__all__ = ["idle_share"]
+__all__ = ["max_idle_connections"]
--- a/src/threadramp/policy/listing.py
+++ b/src/threadramp/policy/listing_policy.py
@@ -11,7 +11,7 @@
 
 from threadramp.config.registry import Registry
 
-LISTINGS: Registry[type[Listing]] = Registry()
+LISTINGS: Registry[type[ListingPolicy]] = Registry()
 OTHERS_S = 0.3  # a result that completes no group waits so long for others
 # Results wait so long where nobody waits for them yet. A box that is lost takes those along that
 # are not written: up to a second of short samples, the long ones are saved while they run.
@@ -22,50 +22,52 @@
 
 
 @dataclass(frozen=True)
-class Unlisted:
+class PendingResults:
     """What waits to be written of one lot.
 
     :param oldest_at: time at which the first of the results was there
-    :param completes: whether any of them completes its group
-    :param whole: groups that are whole with these results
-    :param wanted: whole groups that the trainer waits for, 0 if it did not say
+    :param completes_group: whether any of them completes its group
+    :param complete_groups: groups that are whole with these results
+    :param wanted_groups: whole groups that the trainer waits for, 0 if it did not say
     :param due: time at which the lot is due
     """
 
     oldest_at: float
-    completes: bool
-    whole: int
-    wanted: int
+    completes_group: bool
+    complete_groups: int
+    wanted_groups: int
     due: float
 
 
-class Listing:
+class ListingPolicy:
     """Base of the ways."""
 
-    def is_due(self, unlisted: Unlisted, now: float) -> bool:
+    def is_due(self, unlisted: PendingResults, now: float) -> bool:
         """Return whether it is written now."""
         raise NotImplementedError
 
 
 @LISTINGS.register("at_once")
-class AtOnce(Listing):
+class ImmediateListing(ListingPolicy):
     """Each whole group as it is whole, other results after a moment."""
 
-    def is_due(self, unlisted: Unlisted, now: float) -> bool:
+    def is_due(self, unlisted: PendingResults, now: float) -> bool:
         """Return whether it is written now."""
-        return unlisted.completes or unlisted.oldest_at <= now - OTHERS_S
+        return unlisted.completes_group or unlisted.oldest_at <= now - OTHERS_S
 
 
 @LISTINGS.register("as_needed")
-class AsNeeded(AtOnce):
+class DeferredListing(ImmediateListing):
     """Gathered, until the trainer has what it waits for or the lot is nearly due."""
 
-    def is_due(self, unlisted: Unlisted, now: float) -> bool:
+    def is_due(self, unlisted: PendingResults, now: float) -> bool:
         """Return whether it is written now."""
-        is_waited_for = not unlisted.wanted or unlisted.whole >= unlisted.wanted
+        is_waited_for = (
+            not unlisted.wanted_groups or unlisted.complete_groups >= unlisted.wanted_groups
+        )
         if is_waited_for or now >= unlisted.due - NEAR_S:
             return super().is_due(unlisted, now)
         return unlisted.oldest_at <= now - GATHER_S
 
 
-__all__ = ["GATHER_S", "LISTINGS", "NEAR_S", "OTHERS_S", "Listing", "Unlisted"]
+__all__ = ["GATHER_S", "LISTINGS", "NEAR_S", "OTHERS_S", "ListingPolicy", "PendingResults"]
--- a/src/threadramp/policy/model_share.py
+++ b/src/threadramp/policy/load_schedule.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class ModelShare:
+class LoadSchedule:
     """What one engine loads.
 
     :param shifts: by model, the place at which it comes where several models wait for a load;
@@ -47,7 +47,7 @@
     turn: int = 0
     turns: int = 1
 
-    def new_s(self, versions_apart: int) -> float:
+    def freshness_s(self, versions_apart: int) -> float:
         """Return for how long after its naming a version is loaded by the engines in turn.
 
         So long that an even share of them comes up: all engines for one model, a third for three.
@@ -57,12 +57,12 @@
         return self.turns * TURN_S / max(1, len(self.shifts)) / versions_apart
 
 
-def is_shared(engines: int) -> bool:
+def holds_all_models(engines: int) -> bool:
     """Return whether each engine of a pool of that size holds all models of the pool."""
     return engines <= SMALL_POOL
 
 
-def model_share(rank: int, engines: int, models: Sequence[str]) -> ModelShare:
+def load_schedule(rank: int, engines: int, models: Sequence[str]) -> LoadSchedule:
     """Return what one engine loads.
 
     :param rank: place of the engine among ``engines``, from 0
@@ -70,16 +70,16 @@
     """
     ordered = sorted(models)
     if not ordered:
-        return ModelShare({})
-    turns = -(-engines // load_at_once(engines))
+        return LoadSchedule({})
+    turns = -(-engines // max_concurrent_loads(engines))
     turn = rank % turns
-    if not is_shared(engines):
-        return ModelShare({ordered[rank * len(ordered) // engines]: 0}, turn, turns)
+    if not holds_all_models(engines):
+        return LoadSchedule({ordered[rank * len(ordered) // engines]: 0}, turn, turns)
     shifts = {model: (rank + place) % len(ordered) for place, model in enumerate(ordered)}
-    return ModelShare(shifts, turn, turns)
+    return LoadSchedule(shifts, turn, turns)
 
 
-def load_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """Return how many engines of a pool load at once before loads get longer."""
     return max(LEAST_AT_ONCE, engines // TURNS)
 
@@ -100,17 +100,17 @@
 
 
 @dataclass(frozen=True)
-class NamedVersion:
+class PublishedVersion:
     """The newest version that is named of a model, and what an engine has of it.
 
     :param held: version that the engine holds, 0 if it lacks the model
-    :param known_s: seconds for which the engine's sidecar has known that the version is named
+    :param age_s: seconds for which the engine's sidecar has known that the version is named
     """
 
     model: str
     version: int
     held: int
-    known_s: float
+    age_s: float
 
     @property
     def is_wanted(self) -> bool:
@@ -124,12 +124,12 @@
 
 
 def next_load(
-    named: Sequence[NamedVersion],
-    share: ModelShare,
+    named: Sequence[PublishedVersion],
+    share: LoadSchedule,
     seconds: float,
     versions_apart: int = 1,
-    hurried: str = "",
-) -> NamedVersion | None:
+    urgent_model: str = "",
+) -> PublishedVersion | None:
     """Return which version an engine begins to load now, none if it begins none.
 
     In its turn it loads what was named lately: the lot of the next version may be handed in any
@@ -139,25 +139,25 @@
 
     :param seconds: of the time of day
     :param versions_apart: 2 if an engine is to load every second version only
-    :param hurried: model that a gateway wants now, since no engine can run what waits for it
+    :param urgent_model: model that a gateway wants now, since no engine can run what waits for it
     """
     wanted = [one for one in named if one.is_wanted]
     for one in wanted:
-        if one.model == hurried and one.is_useless:
+        if one.model == urgent_model and one.is_useless:
             return one
     if not is_turn(share.turn, share.turns, seconds):
         return None
-    new_s = share.new_s(versions_apart)
-    due = [one for one in wanted if one.known_s < new_s or one.is_useless]
-    return min(due, key=lambda one: (one.known_s >= new_s, share.shifts[one.model]), default=None)
+    new_s = share.freshness_s(versions_apart)
+    due = [one for one in wanted if one.age_s < new_s or one.is_useless]
+    return min(due, key=lambda one: (one.age_s >= new_s, share.shifts[one.model]), default=None)
 
 
 __all__ = [
-    "ModelShare",
-    "NamedVersion",
-    "is_shared",
+    "LoadSchedule",
+    "PublishedVersion",
+    "holds_all_models",
     "is_turn",
-    "load_at_once",
-    "model_share",
+    "max_concurrent_loads",
+    "load_schedule",
     "next_load",
 ]
--- a/src/threadramp/policy/locality.py
+++ b/src/threadramp/policy/locality.py
@@ -11,7 +11,7 @@
     from threadramp.core.membership import Member
 
 
-def in_region(
+def prefer_region(
     members: Sequence[Member], home: str, data_centres: Mapping[str, DataCentre]
 ) -> Sequence[Member]:
     """Return the members of the home's region if one of them has room, else all.
@@ -35,4 +35,4 @@
     return report is not None and report.running + report.queued < report.slots
 
 
-__all__ = ["in_region"]
+__all__ = ["prefer_region"]
--- a/src/threadramp/policy/moves.py
+++ b/src/threadramp/policy/moves.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from threadramp.policy.sample_placement import has_fresh, usual_gap_ms
+from threadramp.policy.sample_placement import has_fresh_weights, median_gap_ms
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -20,7 +20,9 @@
     from threadramp.policy.sample_placement import RunnerView
 
 MOVE_S = 0.3  # a move takes 0.1 to 0.2 s between the last event here and the next there; twice that
-SETTLED_EVENTS = 10  # that it had at its engine; so a sample is not moved on at once, to and fro
+MIN_EVENTS_BEFORE_MOVE = (
+    10  # that it had at its engine; so a sample is not moved on at once, to and fro
+)
 FASTER = 1.2  # gaps of equal engines differ by less: 37 to 42 ms, with one to twelve samples
 
 
@@ -29,8 +31,8 @@
     """A sample that runs.
 
     :param runner: name of the sidecar that runs it
-    :param here: events that it had there
-    :param left: events that are about to come
+    :param events_here: events that it had there
+    :param events_left: events that are about to come
     """
 
     lot: str
@@ -38,25 +40,25 @@
     model: str
     min_version: int
     runner: str
-    here: int
-    left: float
+    events_here: int
+    events_left: float
 
 
-def to_faster(
+def samples_to_move(
     running: Sequence[RunningSample], views: Sequence[RunnerView], now: float
 ) -> list[RunningSample]:
     """Return the samples that are done sooner elsewhere though they lose the time of a move.
 
     Those that gain most choose first; no more leave than there is room for.
     """
-    usual = usual_gap_ms(views)
+    usual = median_gap_ms(views)
     gaps = {view.member.name: _gap_ms(view, usual) for view in views}
-    room = {view.member.name: view.free(now) for view in views}
+    room = {view.member.name: view.free_slots(now) for view in views}
     with_room = [view for view in views if room[view.member.name]]
     fastest_first = sorted(with_room, key=lambda view: gaps[view.member.name])
-    settled = [one for one in running if one.here >= SETTLED_EVENTS]
+    settled = [one for one in running if one.events_here >= MIN_EVENTS_BEFORE_MOVE]
     moved = []
-    for one in sorted(settled, key=lambda one: -one.left * gaps.get(one.runner, 0.0)):
+    for one in sorted(settled, key=lambda one: -one.events_left * gaps.get(one.runner, 0.0)):
         there = _faster(one, fastest_first, gaps)
         if there is None:
             continue
@@ -76,9 +78,9 @@
         there = gaps[view.member.name]
         if not there:
             continue  # nothing is known of it
-        if not _pays(one.left, here, there):
+        if not _pays(one.events_left, here, there):
             return None  # nor at those behind it
-        if has_fresh(view, one.model, one.min_version):
+        if has_fresh_weights(view, one.model, one.min_version):
             return view
     return None
 
@@ -93,4 +95,4 @@
     return view.status.gap_ms or usual if view.status is not None else 0.0
 
 
-__all__ = ["RunningSample", "to_faster"]
+__all__ = ["RunningSample", "samples_to_move"]
--- a/src/threadramp/policy/placement.py
+++ b/src/threadramp/policy/placement.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Room:
+class EndpointCapacity:
     """How many more samples an endpoint takes, and which groups it has."""
 
     endpoint: str
@@ -26,7 +26,7 @@
 class Placement:
     """Base of the placements."""
 
-    def choose(self, group: str, rooms: Sequence[Room]) -> Room | None:
+    def choose(self, group: str, rooms: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
         """Return where a sample of ``group`` goes, or none while no endpoint has room."""
         raise NotImplementedError
 
@@ -35,7 +35,7 @@
 class LeastLoaded(Placement):
     """The endpoint with the most room."""
 
-    def choose(self, group: str, rooms: Sequence[Room]) -> Room | None:
+    def choose(self, group: str, rooms: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
         """Return where a sample of ``group`` goes, or none while no endpoint has room."""
         open_rooms = [room for room in rooms if room.free > 0]
         return max(open_rooms, key=lambda room: (room.free, room.endpoint), default=None)
@@ -45,10 +45,10 @@
 class Siblings(LeastLoaded):
     """An endpoint that has siblings of the group while it has room, else the least loaded."""
 
-    def choose(self, group: str, rooms: Sequence[Room]) -> Room | None:
+    def choose(self, group: str, rooms: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
         """Return where a sample of ``group`` goes, or none while no endpoint has room."""
         kin = [room for room in rooms if group in room.groups]
         return super().choose(group, kin) or super().choose(group, rooms)
 
 
-__all__ = ["LeastLoaded", "PLACEMENTS", "Placement", "Room", "Siblings"]
+__all__ = ["LeastLoaded", "PLACEMENTS", "Placement", "EndpointCapacity", "Siblings"]
--- a/src/threadramp/policy/proxied_crashes.py
+++ b/src/threadramp/policy/proxied_crashes.py
@@ -67,7 +67,7 @@
         return self.reused or self.elapsed_s >= self.probe_s + BEGUN_MARGIN_S
 
 
-def may_have_ended(seen: ConnectionBreak) -> bool:
+def may_have_crashed(seen: ConnectionBreak) -> bool:
     """Return whether the request is suspected until the crash is resolved."""
     return seen.was_begun and not seen.others_active and not seen.reported_before
 
@@ -119,7 +119,7 @@
     "ConnectionBreak",
     "CrashResolution",
     "StartTimes",
-    "may_have_ended",
+    "may_have_crashed",
     "probe_delays",
     "resolve_crash",
 ]
--- a/src/threadramp/policy/reserve.py
+++ b/src/threadramp/policy/reserve.py
@@ -10,10 +10,10 @@
 class ReservePolicy:
     """Base of the reserve policies: keep nothing free."""
 
-    def arrived(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Note the arrival of a call."""
 
-    def slots(self, slots: int, running: int, now: float) -> int:
+    def reserved_slots(self, slots: int, running: int, now: float) -> int:
         """Return how many free slots a new rollout must leave."""
         return 0
 
@@ -34,11 +34,11 @@
         self.hold_s = hold_s
         self.last = float("-inf")
 
-    def arrived(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Note the arrival of a call."""
         self.last = now
 
-    def slots(self, slots: int, running: int, now: float) -> int:
+    def reserved_slots(self, slots: int, running: int, now: float) -> int:
         """Return how many free slots a new rollout must leave."""
         return 1 if slots > 1 and now - self.last < self.hold_s else 0
 
--- a/src/threadramp/policy/retries.py
+++ b/src/threadramp/policy/retries.py
@@ -38,7 +38,7 @@
         self.burst = burst
         self.saved = burst
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Note a first attempt."""
         self.saved = min(self.burst, self.saved + self.share)
 
--- a/src/threadramp/policy/routing.py
+++ b/src/threadramp/policy/routing.py
@@ -66,7 +66,7 @@
     return sorted(names, key=weight, reverse=True)
 
 
-def rank_share(name: str) -> float:
+def hash_fraction(name: str) -> float:
     """Return a number from 0 to 1 by a name, spread evenly over many names."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest()) / 2**32
 
@@ -79,4 +79,4 @@
     return max(outstanding, reported) / max(1, report.slots)
 
 
-__all__ = ["ROUTINGS", "RoundRobin", "Routing", "TwoChoice", "rank_share", "rendezvous"]
+__all__ = ["ROUTINGS", "RoundRobin", "Routing", "TwoChoice", "hash_fraction", "rendezvous"]
--- a/src/threadramp/policy/lengths.py
+++ b/src/threadramp/policy/sample_length.py
@@ -12,7 +12,7 @@
 TAIL_SHARE = 0.5  # of what has come; a long tail has more to come the longer it has lasted
 
 
-class Lengths:
+class LengthEstimator:
     """Learns how many tokens an event holds and guesses what is left of a sample."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
             return 1.0
         return self.tokens / self.events
 
-    def ended(self, expected_tokens: int, events: int) -> None:
+    def add_sample(self, expected_tokens: int, events: int) -> None:
         """Note a sample that is whole; one without a guess teaches nothing."""
         if expected_tokens <= 0 or events <= 0:
             return
@@ -39,7 +39,7 @@
         self.tokens += expected_tokens
         self.events += events
 
-    def left(self, expected_tokens: int, events: int) -> float:
+    def remaining_events(self, expected_tokens: int, events: int) -> float:
         """Return how many events are about to come.
 
         :param expected_tokens: the guess, 0 if there is none
@@ -49,4 +49,4 @@
         return max(guessed, TAIL_SHARE * events)
 
 
-__all__ = ["Lengths"]
+__all__ = ["LengthEstimator"]
--- a/src/threadramp/policy/sample_placement.py
+++ b/src/threadramp/policy/sample_placement.py
@@ -23,33 +23,37 @@
 class RunnerView:
     """A sidecar as one gateway sees it.
 
-    :param taken: samples there, those just sent included
-    :param heard: time of its last answer
-    :param since: time at which it was first asked
+    :param assigned: samples there, those just sent included
+    :param last_answer_at: time of its last answer
+    :param first_asked_at: time at which it was first asked
     """
 
     member: Member
     status: RunnerStatus | None = None
-    taken: int = 0
-    heard: float = 0.0
-    since: float = 0.0
+    assigned: int = 0
+    last_answer_at: float = 0.0
+    first_asked_at: float = 0.0
 
     def is_ready(self, now: float) -> bool:
         """Return whether it was heard lately and takes samples."""
-        return self.status is not None and self.status.ready and now - self.heard <= STATUS_AGE_S
+        return (
+            self.status is not None
+            and self.status.ready
+            and now - self.last_answer_at <= STATUS_AGE_S
+        )
 
-    def free(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return how many samples it could start now."""
-        return max(0, self.status.slots - self.taken) if self.is_ready(now) else 0
+        return max(0, self.status.slots - self.assigned) if self.is_ready(now) else 0
 
 
-def usual_gap_ms(views: Sequence[RunnerView]) -> float:
+def median_gap_ms(views: Sequence[RunnerView]) -> float:
     """Return the usual gap between events over all sidecars, 0 if none tells one."""
     gaps = [view.status.gap_ms for view in views if view.status and view.status.gap_ms]
     return median(gaps) if gaps else 0.0
 
 
-def place(
+def choose_runner(
     views: Sequence[RunnerView],
     model: str,
     min_version: int,
@@ -70,7 +74,7 @@
     fastest = min((view.status.gap_ms for view in views if _tells_gap(view)), default=0.0)
 
     def rank(view: RunnerView) -> tuple[bool, int, float, bool]:
-        share = view.free(now) / max(1, view.status.slots)
+        share = view.free_slots(now) / max(1, view.status.slots)
         near = view.member.data_centre == data_centre
         return (view.member.name == avoid, _speed_class(view, fastest), -share, not near)
 
@@ -79,10 +83,10 @@
 
 def _is_able(view: RunnerView, model: str, min_version: int, now: float) -> bool:
     """Return whether a sidecar could start a sample now with weights that are fresh enough."""
-    return view.free(now) > 0 and has_fresh(view, model, min_version)
+    return view.free_slots(now) > 0 and has_fresh_weights(view, model, min_version)
 
 
-def has_fresh(view: RunnerView, model: str, min_version: int) -> bool:
+def has_fresh_weights(view: RunnerView, model: str, min_version: int) -> bool:
     """Return whether an engine holds weights that are fresh enough and do not change just now."""
     if view.status is None or is_changing(view.status.loading, model):
         return False
@@ -100,4 +104,4 @@
     return int(log(view.status.gap_ms / fastest, SPEED_STEP))
 
 
-__all__ = ["RunnerView", "has_fresh", "place", "usual_gap_ms"]
+__all__ = ["RunnerView", "has_fresh_weights", "choose_runner", "median_gap_ms"]
--- a/src/threadramp/policy/tail.py
+++ b/src/threadramp/policy/tail.py
@@ -11,7 +11,7 @@
     from collections.abc import Sequence
 
     from threadramp.core.progress import SampleProgress
-    from threadramp.policy.placement import Room
+    from threadramp.policy.placement import EndpointCapacity
 
 MIN_AGE_S = 0.5  # a younger sample has no rate worth comparing
 SLOW_SHARE = 0.5  # of the usual rate; below it an endpoint counts as slow
@@ -23,7 +23,7 @@
     """Base of the tail policies."""
 
     def second_attempts(
-        self, samples: dict[str, SampleProgress], rooms: Sequence[Room], now: float
+        self, samples: dict[str, SampleProgress], rooms: Sequence[EndpointCapacity], now: float
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         raise NotImplementedError
@@ -34,7 +34,7 @@
     """Wait for every sample's first attempt."""
 
     def second_attempts(
-        self, samples: dict[str, SampleProgress], rooms: Sequence[Room], now: float
+        self, samples: dict[str, SampleProgress], rooms: Sequence[EndpointCapacity], now: float
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         return []
@@ -51,7 +51,7 @@
         self.usual = 0.0
 
     def second_attempts(
-        self, samples: dict[str, SampleProgress], rooms: Sequence[Room], now: float
+        self, samples: dict[str, SampleProgress], rooms: Sequence[EndpointCapacity], now: float
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         rates = {
--- a/src/threadramp/policy/true_time.py
+++ b/src/threadramp/policy/true_time.py
@@ -15,10 +15,12 @@
 
 # Clocks jump by seconds; messages between busy boxes came up to 0.3 s late, and requests counted by
 # a time that moved by as much within a window of 2 s were 12% off.
-AGREE_S = 0.5
-SURE_OF = 2  # others that said what the time is; of two clocks that differ either may be off
-SURE_S = 3.0  # after the start; each gateway is asked once a second by several others
-HEARD_S = 10.0  # what a box said longer ago does not count; others are asked each second
+MAX_DEVIATION_S = 0.5
+RELIABLE_READINGS = (
+    2  # others that said what the time is; of two clocks that differ either may be off
+)
+RELIABLE_AFTER_S = 3.0  # after the start; each gateway is asked once a second by several others
+READING_TTL_S = 10.0  # what a box said longer ago does not count; others are asked each second
 
 
 class TrueTime:
@@ -41,7 +43,7 @@
         """Return the true time of day at a time of the steady clock."""
         return steady + self.offset()
 
-    def note(self, box: str, time_of_day: float, steady: float) -> None:
+    def add_reading(self, box: str, time_of_day: float, steady: float) -> None:
         """Note what a box said the time was.
 
         :param steady: time of our steady clock at that moment
@@ -55,12 +57,12 @@
         it was on its way, which varies with how busy the boxes are.
         """
         middle = self._middle(sorted([self.own, *self._lately()]))
-        return self.own if abs(self.own - middle) < AGREE_S else middle
+        return self.own if abs(self.own - middle) < MAX_DEVIATION_S else middle
 
-    def is_sure(self) -> bool:
+    def is_reliable(self) -> bool:
         """Return whether enough others were heard to tell which clock is off, or none will be."""
-        is_old = self.clock.now() - self.started >= SURE_S
-        return is_old or len(self._lately()) >= SURE_OF
+        is_old = self.clock.now() - self.started >= RELIABLE_AFTER_S
+        return is_old or len(self._lately()) >= RELIABLE_READINGS
 
     def _middle(self, offsets: list[float]) -> float:
         count = len(offsets)
@@ -68,8 +70,8 @@
         return min(middles, key=lambda one: abs(one - self.own))
 
     def _lately(self) -> list[float]:
-        since = self.clock.now() - HEARD_S
+        since = self.clock.now() - READING_TTL_S
         return [offset for offset, at in list(self.heard.values()) if at >= since]
 
 
-__all__ = ["AGREE_S", "HEARD_S", "SURE_OF", "SURE_S", "TrueTime"]
+__all__ = ["MAX_DEVIATION_S", "READING_TTL_S", "RELIABLE_READINGS", "RELIABLE_AFTER_S", "TrueTime"]
--- a/src/threadramp/policy/hurry.py
+++ b/src/threadramp/policy/urgent_loads.py
@@ -10,8 +10,8 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.policy.model_share import load_at_once
-from threadramp.policy.sample_placement import usual_gap_ms
+from threadramp.policy.load_schedule import max_concurrent_loads
+from threadramp.policy.sample_placement import median_gap_ms
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -19,7 +19,7 @@
     from threadramp.policy.sample_placement import RunnerView
 
 
-def engines_to_hurry(
+def engines_for_urgent_load(
     views: Sequence[RunnerView], model: str, min_version: int, now: float
 ) -> list[RunnerView]:
     """Return the engines that are to load a model at once, none if one holds it or some load it.
@@ -31,9 +31,9 @@
         return []
     loading = sum(view.status.loading == model for view in ready)
     idle = [view for view in ready if not view.status.loading and view.status.versions.get(model)]
-    usual = usual_gap_ms(ready)
-    idle.sort(key=lambda view: (view.status.gap_ms or usual, view.taken))
-    return idle[: max(0, load_at_once(len(ready)) - loading)]
+    usual = median_gap_ms(ready)
+    idle.sort(key=lambda view: (view.status.gap_ms or usual, view.assigned))
+    return idle[: max(0, max_concurrent_loads(len(ready)) - loading)]
 
 
-__all__ = ["engines_to_hurry"]
+__all__ = ["engines_for_urgent_load"]
--- a/src/threadramp/policy/usage_book.py
+++ b/src/threadramp/policy/usage_windows.py
@@ -9,7 +9,9 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-KEPT_WINDOWS = 12  # a minute of the users' windows: a new holder asks for what is not reported yet
+RETAINED_WINDOWS = (
+    12  # a minute of the users' windows: a new holder asks for what is not reported yet
+)
 
 
 @dataclass
@@ -23,7 +25,7 @@
     changed: int = 0
 
 
-class UsageBook:
+class UsageWindows:
     """The counts of one process; its methods may be called from any thread.
 
     :param window_s: length of a window
@@ -39,11 +41,11 @@
         """Return the number of the window that a time lies in."""
         return int(true_time // self.window_s)
 
-    def began(self, organisation: str, true_time: float) -> None:
+    def record_start(self, organisation: str, true_time: float) -> None:
         """Count a request that an endpoint began."""
         self.add(organisation, true_time, 1)
 
-    def did_not_begin(self, organisation: str, true_time: float) -> None:
+    def undo_start(self, organisation: str, true_time: float) -> None:
         """Take back a request that was counted, since the endpoint says it did not run."""
         self.add(organisation, true_time, -1)
 
@@ -52,7 +54,7 @@
         window = self.window_at(true_time)
         with self.lock:
             self._change(organisation, window, count)
-            for old in [number for number in self.windows if number < window - KEPT_WINDOWS]:
+            for old in [number for number in self.windows if number < window - RETAINED_WINDOWS]:
                 del self.windows[old]
 
     def move(self, organisation: str, wrong: float, right: float, count: int) -> None:
@@ -91,7 +93,7 @@
     windows: dict[int, dict[str, int]] = field(default_factory=dict)
 
 
-class UsageTable:
+class UsageTotals:
     """What all processes told a collector; those that are gone count with what they told last.
 
     :param window_s: length of a window
@@ -99,13 +101,13 @@
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        self.told: dict[tuple[str, str], _Told] = {}
+        self.processes: dict[tuple[str, str], _Told] = {}
 
     def seen(self, box: str, incarnation: str) -> int:
         """Return the number of the last change of a process that is known here."""
-        return self.told.get((box, incarnation), _Told()).seen
+        return self.processes.get((box, incarnation), _Told()).seen
 
-    def note(
+    def merge(
         self,
         box: str,
         incarnation: str,
@@ -114,7 +116,7 @@
         true_time: float,
     ) -> None:
         """Note what a process told: the windows that changed, each as a whole."""
-        told = self.told.setdefault((box, incarnation), _Told())
+        told = self.processes.setdefault((box, incarnation), _Told())
         told.at = max(told.at, true_time)
         if seen < told.seen:
             return  # an answer that was held up
@@ -124,20 +126,20 @@
     def total(self, window: int) -> dict[str, int]:
         """Return the counts of a window over all processes."""
         total: Counter[str] = Counter()
-        for told in self.told.values():
+        for told in self.processes.values():
             total.update(told.windows.get(window, {}))
         return {name: count for name, count in sorted(total.items()) if count > 0}
 
-    def heard_after(self, box: str, true_time: float) -> bool:
+    def has_answered_after(self, box: str, true_time: float) -> bool:
         """Return whether a box answered after a time."""
-        return any(told.at > true_time for (name, _), told in self.told.items() if name == box)
+        return any(told.at > true_time for (name, _), told in self.processes.items() if name == box)
 
-    def forget_before(self, window: int) -> None:
+    def drop_before(self, window: int) -> None:
         """Drop what is older than a window, and processes of which nothing is left."""
-        for key, told in list(self.told.items()):
+        for key, told in list(self.processes.items()):
             told.windows = {one: row for one, row in told.windows.items() if one >= window}
             if not told.windows and told.at < window * self.window_s:
-                del self.told[key]
+                del self.processes[key]
 
 
-__all__ = ["KEPT_WINDOWS", "UsageBook", "UsageTable"]
+__all__ = ["RETAINED_WINDOWS", "UsageWindows", "UsageTotals"]
--- a/src/threadramp/policy/watch_share.py
+++ b/src/threadramp/policy/watcher_assignment.py
@@ -31,7 +31,7 @@
     return [local[name] for name in rendezvous(data_centre, sorted(local))[:count]]
 
 
-def leaders_of(data_centre: str, gateways: Iterable[Member]) -> list[Member]:
+def watchers_to_follow(data_centre: str, gateways: Iterable[Member]) -> list[Member]:
     """Return the gateways that others of a data centre may follow, its own watcher first.
 
     The one that stands in is the watcher of another data centre; each data centre has its own such
@@ -52,4 +52,4 @@
     return rows
 
 
-__all__ = ["WATCHERS", "leaders_of", "watchers_in"]
+__all__ = ["WATCHERS", "watchers_to_follow", "watchers_in"]
--- a/src/threadramp/runner/engine_ends.py
+++ b/src/threadramp/runner/engine_ends.py
@@ -11,7 +11,7 @@
 
 from threadramp.edge.endpoint_probe import EndpointState, look_at
 from threadramp.edge.signs import timed_look
-from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_ended
+from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_crashed
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,7 +24,7 @@
     """
     found = timed_look(address, look)
     if found.state is EndpointState.BREAKS:
-        return may_have_ended(ConnectionBreak(lived_s, found.took_s))
+        return may_have_crashed(ConnectionBreak(lived_s, found.took_s))
     return found.state is EndpointState.ENDED
 
 
--- a/src/threadramp/runner/hosting.py
+++ b/src/threadramp/runner/hosting.py
@@ -13,7 +13,7 @@
 
 from threadramp.fleet.facts import facts_for
 from threadramp.fleet.runner_members import engines, hosted_member
-from threadramp.policy.engine_host import host_of
+from threadramp.policy.engine_host import gateway_for_engine
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
 from threadramp.runner.beliefs import RunnerBeliefs
@@ -139,7 +139,9 @@
         """Return whether an engine has had no sidecar for a while and this gateway stands in."""
         if self.leaving or self._bare_s(endpoint.address) < BARE_S:
             return False
-        host = host_of(endpoint.address, endpoint.data_centre, self.peers.live_gateways())
+        host = gateway_for_engine(
+            endpoint.address, endpoint.data_centre, self.peers.live_gateways()
+        )
         return host is not None and host.name == self.peers.member.name
 
     def _bare_s(self, engine: str) -> float:
--- a/src/threadramp/runner/weights.py
+++ b/src/threadramp/runner/weights.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.platform.engine import OrderOutcome
-from threadramp.policy.model_share import NamedVersion, next_load
+from threadramp.policy.load_schedule import PublishedVersion, next_load
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -97,19 +97,19 @@
         chosen = next_load(list(named), facts.share, seconds, apart, self._hurried())
         return named[chosen] if chosen is not None else None
 
-    def _named(self, target: WeightTarget) -> NamedVersion:
+    def _named(self, target: WeightTarget) -> PublishedVersion:
         """Return a named version beside what the engine has of it."""
         now = self.clock.now()
         seen = self.seen.get(target.model)
         if seen is None or seen.version != target.version:
             seen = SeenVersion(target.version, now)
             self.seen[target.model] = seen
-        return NamedVersion(
+        return PublishedVersion(
             model=target.model,
             version=target.version,
             held=self.engine.report.versions.get(target.model, 0),
             # While the right to order is waited for, 5 s after a take-over, it does not get old.
-            known_s=0.0 if seen.held_up else now - seen.since,
+            age_s=0.0 if seen.held_up else now - seen.since,
         )
 
     def hurry(self, model: str) -> None:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -43,8 +43,8 @@
 from threadramp.platform.duty_calls import DutyCalls
 from threadramp.platform.store import StoreClient
 from threadramp.policy.crash_tracker import CrashTracker
-from threadramp.policy.endpoint_choice import EndpointChoice
-from threadramp.policy.listing import LISTINGS
+from threadramp.policy.endpoint_choice import EndpointSelector
+from threadramp.policy.listing_policy import LISTINGS
 from threadramp.policy.retries import RetryBudget
 from threadramp.policy.true_time import TrueTime
 from threadramp.policy.usage_schedule import UsageSchedule
@@ -259,7 +259,7 @@
         forwarder = Forwarder(
             self.picture,
             connections,
-            EndpointChoice(random),
+            EndpointSelector(random),
             RetryBudget(),
             clock,
             self.guard,
--- a/src/threadramp/serve/own_settings.py
+++ b/src/threadramp/serve/own_settings.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from threadramp.config.findings import Finding, FindingsError
-from threadramp.policy.listing import LISTINGS
+from threadramp.policy.listing_policy import LISTINGS
 
 OWN_SETTINGS = Path("deploy", "threadramp.toml")  # processes begin at the root of the checkout
 
@@ -26,7 +26,7 @@
 class LotSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How lots are run.
 
-    :param listing: when results are written, one of ``policy/listing.py``
+    :param listing: when results are written, one of ``policy/listing_policy.py``
     """
 
     listing: str = "at_once"
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -12,7 +12,7 @@
 from threadramp.fleet.relaying import StoreCalls
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store import StoreClient
-from threadramp.policy.renewals import renewal_s
+from threadramp.policy.renewals import renewal_interval_s
 from threadramp.report.beliefs import Beliefs
 from threadramp.report.call_tally import CallTally
 from threadramp.report.metrics import Metrics
@@ -61,7 +61,9 @@
         table = RunTable(clock.now)
         self.sidecar = Sidecar(member, engine, weights, table, client, clock, self.metrics)
         self.membership = Membership(member, store, own.store.lease_min_s)
-        self.membership.renew_s = lambda: renewal_s(self.sidecar.sidecars, own.store.reads_per_s)
+        self.membership.renew_s = lambda: renewal_interval_s(
+            self.sidecar.sidecars, own.store.reads_per_s
+        )
         self.sidecar.on_unlisted = self.membership.not_listed
         self.sidecar.store_calls = StoreCalls(store, health)
         beliefs = Beliefs()
--- a/src/threadramp/wire/runner.py
+++ b/src/threadramp/wire/runner.py
@@ -6,7 +6,7 @@
 
 from threadramp.fleet.model import Start, WeightTarget
 from threadramp.lots.model import USUAL_RANK, Sample
-from threadramp.policy.model_share import ModelShare
+from threadramp.policy.load_schedule import LoadSchedule
 
 ANY_MODEL = "*"  # where weights change and it is not known of which model
 
@@ -33,7 +33,7 @@
     targets: tuple[WeightTarget, ...] = ()
     listed: bool = True
     sidecars: int = 0
-    share: ModelShare = ModelShare({})
+    share: LoadSchedule = LoadSchedule({})
     born: int = 0
 
     @property
--- a/tests/duties/test_collecting.py
+++ b/tests/duties/test_collecting.py
@@ -6,8 +6,8 @@
 
 from threadramp.duties.collecting import UsageCollecting, UsageCounting
 from threadramp.fleet.picture import Member
-from threadramp.policy.true_time import SURE_S, TrueTime
-from threadramp.policy.usage_book import KEPT_WINDOWS
+from threadramp.policy.true_time import RELIABLE_AFTER_S, TrueTime
+from threadramp.policy.usage_windows import RETAINED_WINDOWS
 from threadramp.wire.fleet import ReadUsage
 
 WINDOW_S = 5.0
@@ -65,7 +65,7 @@
 
 
 def test_one_that_does_not_answer_is_missed(clock, collecting, peers):
-    clock.at += SURE_S
+    clock.at += RELIABLE_AFTER_S
     since = collecting.true_time.now() - 1.0
     collecting.round()
     assert collecting.all_told(since)
@@ -79,12 +79,12 @@
 
 def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collecting, other):
     """It kept all of them: only the holder forgot, by what it had reported."""
-    for _ in range(4 * KEPT_WINDOWS):
+    for _ in range(4 * RETAINED_WINDOWS):
         other.began("acme", clock.now())
         collecting.round()
         clock.at += WINDOW_S
-    kept = {window for told in collecting.table.told.values() for window in told.windows}
-    assert len(kept) <= KEPT_WINDOWS + 1
+    kept = {window for told in collecting.table.processes.values() for window in told.windows}
+    assert len(kept) <= RETAINED_WINDOWS + 1
 
 
 @pytest.mark.parametrize("ahead", [-7.0, 7.0])
@@ -125,11 +125,11 @@
     ask_all = peers.ask_all
 
     def asked_all(asks, timeout_s):
-        true_time.note("third", truth(), clock.now())
+        true_time.add_reading("third", truth(), clock.now())
         return ask_all(asks, timeout_s)
 
     peers.ask_all = asked_all
-    clock.at += SURE_S
+    clock.at += RELIABLE_AFTER_S
     collecting.round()
     assert not collecting.all_told(truth() + 1.0)
     clock.at += 1.1
@@ -142,6 +142,6 @@
     since = collecting.true_time.now() - 0.1
     collecting.round()
     assert not collecting.all_told(since)
-    clock.at += SURE_S
+    clock.at += RELIABLE_AFTER_S
     collecting.round()
     assert collecting.all_told(since)
--- a/tests/duties/test_usage_reports.py
+++ b/tests/duties/test_usage_reports.py
@@ -18,7 +18,7 @@
 from threadramp.platform.standins.cloud import PlatformCloud
 from threadramp.platform.store_model import StoreError, StoreUnknownError
 from threadramp.policy.true_time import TrueTime
-from threadramp.policy.usage_schedule import KEEP_TRYING_S, SETTLE_S, UsageSchedule
+from threadramp.policy.usage_schedule import RETRY_FOR_S, SETTLE_S, UsageSchedule
 from threadramp.report.metrics import Metrics
 
 WINDOW_S = 5.0
@@ -159,7 +159,7 @@
     first = window_at(clock)
     clock.at += 1.0
     for other in ("two", "three"):
-        one.true_time.note(other, truth(), clock.now())
+        one.true_time.add_reading(other, truth(), clock.now())
     one.turn()
     pass_window(clock)
     one.turn()
@@ -337,7 +337,7 @@
     cloud.outcome = DutyOutcome.TURNED_AWAY
     pass_window(clock)
     one.turn()
-    clock.at += 10.0 + KEEP_TRYING_S + 1.0
+    clock.at += 10.0 + RETRY_FOR_S + 1.0
     one.collected.told = False
     one.turn()
     cloud.outcome = DutyOutcome.TAKEN
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -21,7 +21,7 @@
 from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.crashing import CrashingEndpoint
 from threadramp.policy.crash_tracker import TRIAL_DELAYS_S, SuspicionLevel
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.fingerprint import fingerprint
 from threadramp.policy.retries import RetryBudget
 
@@ -36,7 +36,7 @@
         self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(COUNT)]
         self.list_all()
         self.forwarder = Forwarder(
-            self.picture, Connections(), EndpointChoice(Random(2)), RetryBudget(), Clock()
+            self.picture, Connections(), EndpointSelector(Random(2)), RetryBudget(), Clock()
         )
         self.guard = self.forwarder.guard
         self.guard.claim = lambda fingerprint, trial: True
--- a/tests/edge/test_duplicate_responses.py
+++ b/tests/edge/test_duplicate_responses.py
@@ -13,7 +13,7 @@
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 REQUESTS = 30
@@ -42,7 +42,7 @@
 def forwarder(endpoint) -> Forwarder:
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": endpoint})
-    choice = EndpointChoice(Random(1))
+    choice = EndpointSelector(Random(1))
     return Forwarder(picture, Connections(), choice, RetryBudget(), Clock())
 
 
--- a/tests/edge/test_filled_up.py
+++ b/tests/edge/test_filled_up.py
@@ -15,7 +15,7 @@
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 BODY = b"whole-" * 50
@@ -60,7 +60,7 @@
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
     connections = Connections()
-    forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(picture, connections, EndpointSelector(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     try:
         for ident in ("r1", "r2"):
@@ -94,7 +94,9 @@
     endpoint = CutAndAgain(own_bytes)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, Connections(), EndpointSelector(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
     try:
--- a/tests/edge/test_forward.py
+++ b/tests/edge/test_forward.py
@@ -16,7 +16,7 @@
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.endpoint import PlatformEngine
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 
@@ -30,7 +30,7 @@
         self.connections = Connections()
         self.standins: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
-        self.choice = EndpointChoice(Random(1))
+        self.choice = EndpointSelector(Random(1))
         self.forwarder = Forwarder(
             self.picture, self.connections, self.choice, RetryBudget(), Clock()
         )
@@ -213,7 +213,7 @@
     fleet.add(fail=1)
     for _ in range(4):
         fleet.run()
-    fleet.choice.failed(fleet.endpoints["i-0"], steady_s())
+    fleet.choice.record_failure(fleet.endpoints["i-0"], steady_s())
     start_anew(fleet, 2000)
     fleet.forwarder.forget_gone()
     assert not fleet.connections.idle
--- a/tests/edge/test_interim.py
+++ b/tests/edge/test_interim.py
@@ -13,7 +13,7 @@
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 
@@ -28,7 +28,9 @@
     endpoint = Stutterer(answer, LATE)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, Connections(), EndpointSelector(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
     try:
--- a/tests/edge/test_second_answers.py
+++ b/tests/edge/test_second_answers.py
@@ -24,7 +24,7 @@
     Stutter,
     StutteringFront,
 )
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 
@@ -50,7 +50,7 @@
     """Forwards a request and returns how it ended."""
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": endpoint})
-    forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(picture, connections, EndpointSelector(Random(1)), RetryBudget(), Clock())
 
     def run(ident: str, kind: RouteKind = RouteKind.REPEATABLE, **more):
         route = Route("r", "h", "/", kind, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
--- a/tests/edge/test_stale_connections.py
+++ b/tests/edge/test_stale_connections.py
@@ -19,7 +19,7 @@
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.engine import REPORT_PATH
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
@@ -102,7 +102,9 @@
     picture = Picture()
     only = dropping[0].endpoint
     picture.belief = Belief(endpoints={only.instance: only})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, Connections(), EndpointSelector(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
     endings = []
     for _ in range(6):
@@ -117,7 +119,7 @@
     picture = Picture()
     endpoints = {one.endpoint.instance: one.endpoint for one in dropping}
     picture.belief = Belief(endpoints=endpoints)
-    choice = EndpointChoice(Random(1))
+    choice = EndpointSelector(Random(1))
     forwarder = Forwarder(picture, Connections(), choice, RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.REPEATABLE, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
     for _ in range(8):
--- a/tests/edge/test_streaming.py
+++ b/tests/edge/test_streaming.py
@@ -21,7 +21,7 @@
 from threadramp.platform.headers import request_id
 from threadramp.platform.standins.endpoint import PlatformEngine
 from threadramp.platform.standins.stuttering import Moment, Second, Stutter, StutteringFront
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 
@@ -34,7 +34,7 @@
         self.engines: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
         access = Forwarder(
-            self.picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+            self.picture, Connections(), EndpointSelector(Random(1)), RetryBudget(), Clock()
         )
         self.watch = CallerWatch()
         self.watch.start()
--- a/tests/lots/test_moving.py
+++ b/tests/lots/test_moving.py
@@ -10,7 +10,7 @@
 from threadramp.lots.model import KeptHead
 from threadramp.lots.moving import SampleMoves
 from threadramp.lots.owned import OwnedLot, OwnedLots
-from threadramp.policy.moves import SETTLED_EVENTS
+from threadramp.policy.moves import MIN_EVENTS_BEFORE_MOVE
 
 EXPECTED = 150  # events; nothing is known of tokens yet
 
@@ -32,17 +32,17 @@
 
 
 def test_a_sample_that_is_taken_waits_with_its_events(owned, clock):
-    state = run_at_slow(owned, SETTLED_EVENTS)
+    state = run_at_slow(owned, MIN_EVENTS_BEFORE_MOVE)
     dropped = []
     moves = SampleMoves(owned, clock, lambda seen, have: dropped.append((seen.member.name, have)))
     moves.turn({"slow": view("slow", 60.0), "a": view("a"), "b": view("b")})
-    assert dropped == [("slow", {"a": SETTLED_EVENTS})]
+    assert dropped == [("slow", {"a": MIN_EVENTS_BEFORE_MOVE})]
     assert state.phase is Phase.WAITING
-    assert len(state.events) == SETTLED_EVENTS
+    assert len(state.events) == MIN_EVENTS_BEFORE_MOVE
 
 
 def test_one_that_has_just_begun_stays(owned, clock):
-    run_at_slow(owned, SETTLED_EVENTS - 1)
+    run_at_slow(owned, MIN_EVENTS_BEFORE_MOVE - 1)
     dropped = []
     moves = SampleMoves(owned, clock, lambda seen, have: dropped.append(have))
     moves.turn({"slow": view("slow", 60.0), "a": view("a"), "b": view("b")})
@@ -50,7 +50,7 @@
 
 
 def test_a_sidecar_that_is_not_known_any_more_keeps_its_samples(owned, clock):
-    run_at_slow(owned, SETTLED_EVENTS)
+    run_at_slow(owned, MIN_EVENTS_BEFORE_MOVE)
     dropped = []
     SampleMoves(owned, clock, lambda seen, have: dropped.append(have)).turn({"a": view("a")})
     assert dropped == []
--- a/tests/policy/test_connection_share.py
+++ b/tests/policy/test_idle_connections.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.policy.connection_share import idle_share
+from threadramp.policy.idle_connections import max_idle_connections
 
 
 @pytest.mark.parametrize(
@@ -12,9 +12,9 @@
     [(110, 5, 8), (110, 25, 2), (170, 25, 3), (210, 350, 1), (0, 5, 1), (64, 0, 8)],
 )
 def test_gateways_share_what_an_endpoint_accepts(max_connections, gateways, kept):
-    assert idle_share(max_connections, gateways) == kept
+    assert max_idle_connections(max_connections, gateways) == kept
 
 
 def test_all_together_stay_below_what_it_accepts_where_each_may_keep_one():
     for gateways in range(1, 100):
-        assert gateways * idle_share(200, gateways) <= 200
+        assert gateways * max_idle_connections(200, gateways) <= 200
--- a/tests/policy/test_listing.py
+++ b/tests/policy/test_listing_policy.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadramp.policy.listing import GATHER_S, LISTINGS, NEAR_S, OTHERS_S, Unlisted
+from threadramp.policy.listing_policy import GATHER_S, LISTINGS, NEAR_S, OTHERS_S, PendingResults
 
 DUE = 7.5
 TURN_S = 0.05
@@ -27,7 +27,7 @@
             waiting.append(left.pop(0))
         if waiting:
             whole = len(whole_at) - len(left)
-            unlisted = Unlisted(waiting[0], True, whole, wanted, DUE)
+            unlisted = PendingResults(waiting[0], True, whole, wanted, DUE)
             if listing.is_due(unlisted, now):
                 found.append(now)
                 waiting.clear()
@@ -65,9 +65,9 @@
 
 def test_a_result_that_completes_nothing_waits_for_others():
     listing = LISTINGS["at_once"]()
-    assert not listing.is_due(Unlisted(1.0, False, 0, 3, DUE), 1.0 + OTHERS_S - 0.01)
-    assert listing.is_due(Unlisted(1.0, False, 0, 3, DUE), 1.0 + OTHERS_S)
+    assert not listing.is_due(PendingResults(1.0, False, 0, 3, DUE), 1.0 + OTHERS_S - 0.01)
+    assert listing.is_due(PendingResults(1.0, False, 0, 3, DUE), 1.0 + OTHERS_S)
 
 
 def test_a_trainer_that_does_not_say_what_it_waits_for_gets_all_at_once():
-    assert LISTINGS["as_needed"]().is_due(Unlisted(1.0, True, 1, 0, DUE), 1.0)
+    assert LISTINGS["as_needed"]().is_due(PendingResults(1.0, True, 1, 0, DUE), 1.0)
--- a/tests/policy/test_model_share.py
+++ b/tests/policy/test_load_schedule.py
@@ -4,48 +4,48 @@
 
 import pytest
 
-from threadramp.policy.model_share import (
-    NamedVersion,
-    is_shared,
+from threadramp.policy.load_schedule import (
+    PublishedVersion,
+    holds_all_models,
     is_turn,
-    load_at_once,
-    model_share,
+    load_schedule,
+    max_concurrent_loads,
     next_load,
 )
 
 
-def named(model: str, version: int, held: int, known_s: float = 0.0) -> NamedVersion:
-    return NamedVersion(model, version, held, known_s)
+def named(model: str, version: int, held: int, age_s: float = 0.0) -> PublishedVersion:
+    return PublishedVersion(model, version, held, age_s)
 
 
 @pytest.mark.parametrize(("engines", "models"), [(1, 2), (2, 2), (5, 2), (8, 3), (2, 5)])
 def test_in_a_small_pool_every_engine_holds_every_model(engines, models):
     names = [f"m{number}" for number in range(models)]
-    assert all(set(model_share(rank, engines, names).shifts) == set(names) for rank in range(2))
+    assert all(set(load_schedule(rank, engines, names).shifts) == set(names) for rank in range(2))
 
 
 def test_engines_in_a_row_begin_with_different_models():
     first = [
         min(share.shifts, key=share.shifts.__getitem__)
-        for share in (model_share(rank, 8, ["a", "b", "c"]) for rank in range(6))
+        for share in (load_schedule(rank, 8, ["a", "b", "c"]) for rank in range(6))
     ]
     assert first == ["a", "c", "b", "a", "c", "b"]
 
 
 def test_in_a_large_pool_the_engines_are_dealt_out_evenly():
-    shares = [model_share(rank, 300, ["a", "b", "c"]) for rank in range(300)]
-    assert not is_shared(300)
+    shares = [load_schedule(rank, 300, ["a", "b", "c"]) for rank in range(300)]
+    assert not holds_all_models(300)
     assert [sum(set(one.shifts) == {model} for one in shares) for model in "abc"] == [100] * 3
 
 
 def test_a_pool_without_models_has_nothing_to_load():
-    assert next_load([], model_share(0, 3, ()), 0.1) is None
+    assert next_load([], load_schedule(0, 3, ()), 0.1) is None
 
 
 @pytest.mark.parametrize(("engines", "at_once"), [(1, 2), (5, 2), (6, 2), (8, 2), (21, 7)])
 def test_few_engines_have_the_same_turn(engines, at_once):
-    shares = [model_share(rank, engines, ["m"]) for rank in range(engines)]
-    assert load_at_once(engines) == at_once
+    shares = [load_schedule(rank, engines, ["m"]) for rank in range(engines)]
+    assert max_concurrent_loads(engines) == at_once
     turns = [share.turn for share in shares]
     assert max(turns.count(turn) for turn in turns) <= at_once
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("engines", [6, 21, 300, 2_700])
 def test_a_version_is_on_all_engines_within_four_turns(engines):
     """Two at a time whatever the pool: the last of 21 engines waited ten turns."""
-    assert {model_share(rank, engines, ["m"]).turns for rank in range(engines)} <= {3, 4}
+    assert {load_schedule(rank, engines, ["m"]).turns for rank in range(engines)} <= {3, 4}
 
 
 def test_a_turn_begins_at_its_time_only():
@@ -64,17 +64,17 @@
 
 
 def test_what_was_named_lately_is_loaded_in_turn():
-    share = model_share(0, 8, ["a", "b", "c"])
+    share = load_schedule(0, 8, ["a", "b", "c"])
     lately = named("a", 5, 4)
     assert next_load([lately], share, 400.1) == lately
     assert next_load([lately], share, 401.1) is None
-    assert next_load([named("a", 5, 4, known_s=2.0)], share, 400.1) is None
+    assert next_load([named("a", 5, 4, age_s=2.0)], share, 400.1) is None
 
 
 def test_what_was_named_lately_goes_before_a_model_of_which_nothing_can_be_run():
-    share = model_share(0, 8, ["a", "b", "c"])
+    share = load_schedule(0, 8, ["a", "b", "c"])
     lately = named("b", 5, 4)
-    behind = named("a", 5, 2, known_s=9.0)
+    behind = named("a", 5, 2, age_s=9.0)
     assert next_load([behind, lately], share, 400.1) == lately
     assert next_load([behind], share, 400.1) == behind
 
@@ -83,24 +83,26 @@
     """All engines began with the model furthest behind; the lots of another waited 9.7 s."""
     begun = set()
     for rank in range(8):
-        share = model_share(rank, 8, ["a", "b", "c"])
-        row = [named(model, 9, 1, known_s=9.0) for model in "abc"]
+        share = load_schedule(rank, 8, ["a", "b", "c"])
+        row = [named(model, 9, 1, age_s=9.0) for model in "abc"]
         begun.add(next_load(row, share, share.turn + 0.1).model)
     assert begun == {"a", "b", "c"}
 
 
 def test_a_hurried_model_does_not_wait_for_the_turn():
-    share = model_share(0, 8, ["a", "b"])
-    behind = named("b", 5, 3, known_s=9.0)
-    assert next_load([named("a", 5, 4), behind], share, 402.9, hurried="b") == behind
-    assert next_load([named("b", 5, 4)], share, 402.9, hurried="b") is None  # it can run the lot
+    share = load_schedule(0, 8, ["a", "b"])
+    behind = named("b", 5, 3, age_s=9.0)
+    assert next_load([named("a", 5, 4), behind], share, 402.9, urgent_model="b") == behind
+    assert (
+        next_load([named("b", 5, 4)], share, 402.9, urgent_model="b") is None
+    )  # it can run the lot
 
 
 def loads(start: float, apart: int) -> int:
     """Return how many of six engines load a version that was named at a time."""
     begun = 0
     for rank in range(6):
-        share = model_share(rank, 6, ["m"])
+        share = load_schedule(rank, 6, ["m"])
         ticks = [start + 0.2 * n for n in range(30)]
         begun += any(next_load([named("m", 7, 6, at - start)], share, at, apart) for at in ticks)
     return begun
@@ -120,4 +122,4 @@
 
 
 def test_a_model_that_the_engine_lacks_is_not_loaded():
-    assert next_load([named("a", 5, 0)], model_share(0, 1, ["a"]), 0.1) is None
+    assert next_load([named("a", 5, 0)], load_schedule(0, 1, ["a"]), 0.1) is None
--- a/tests/policy/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -2,7 +2,7 @@
 
 from threadramp.config.resources import DataCentre, Endpoint
 from threadramp.core.membership import Member
-from threadramp.policy.locality import in_region
+from threadramp.policy.locality import prefer_region
 from threadramp.wire.messages import EndpointReport
 
 DATA_CENTRES = {
@@ -24,16 +24,16 @@
 
 def test_own_region_goes_first_while_it_has_room() -> None:
     members = [member("a", "north-2"), member("b", "south-1"), member("c", "north-1", 8)]
-    assert names(in_region(members, "north-1", DATA_CENTRES)) == ["a", "c"]
+    assert names(prefer_region(members, "north-1", DATA_CENTRES)) == ["a", "c"]
 
 
 def test_full_or_missing_region_spills_over() -> None:
     full = [member("a", "north-1", 8), member("b", "south-1")]
-    assert names(in_region(full, "north-1", DATA_CENTRES)) == ["a", "b"]
+    assert names(prefer_region(full, "north-1", DATA_CENTRES)) == ["a", "b"]
     away = [member("b", "south-1"), member("d", "nowhere")]
-    assert names(in_region(away, "north-1", DATA_CENTRES)) == ["b", "d"]
+    assert names(prefer_region(away, "north-1", DATA_CENTRES)) == ["b", "d"]
 
 
 def test_gateway_of_an_undeclared_data_centre_prefers_none() -> None:
     members = [member("a", "north-1"), member("b", "south-1")]
-    assert in_region(members, "elsewhere", DATA_CENTRES) == members
+    assert prefer_region(members, "elsewhere", DATA_CENTRES) == members
--- a/tests/policy/test_moves.py
+++ b/tests/policy/test_moves.py
@@ -4,7 +4,7 @@
 
 from threadramp.fleet.picture import Member
 from threadramp.policy import moves
-from threadramp.policy.moves import RunningSample, to_faster
+from threadramp.policy.moves import RunningSample, samples_to_move
 from threadramp.policy.sample_placement import RunnerView
 from threadramp.wire.runner import RunnerStatus
 
@@ -14,7 +14,7 @@
 def view(name: str, gap: float = 38.0, taken: int = 0, version: int = 3, loading: str = ""):
     member = Member(name, "sidecar", "1", f"{name}:1", "a", f"{name}:80")
     status = RunnerStatus("1", "i", True, 12, taken, {"m": version}, gap, loading)
-    return RunnerView(member, status, taken, heard=NOW)
+    return RunnerView(member, status, taken, last_answer_at=NOW)
 
 
 def sample(name: str, left: float, runner: str = "slow", here: int = 20, min_version: int = 1):
@@ -22,7 +22,7 @@
 
 
 def moved(running, *views) -> list[str]:
-    return [one.sample for one in to_faster(running, views, NOW)]
+    return [one.sample for one in samples_to_move(running, views, NOW)]
 
 
 def test_a_long_sample_leaves_an_engine_that_is_a_third_slower():
@@ -63,10 +63,10 @@
 def test_a_turn_of_the_target_size_looks_at_little_more_than_what_moves(monkeypatch):
     """Each running sample was compared with each engine: 0.1 s of processor time a turn."""
     looks = []
-    monkeypatch.setattr(moves, "has_fresh", lambda *asked: looks.append(asked) or True)
+    monkeypatch.setattr(moves, "has_fresh_weights", lambda *asked: looks.append(asked) or True)
     views = [view(f"e{n}", 50.0 if n % 3 == 0 else 38.0, taken=9) for n in range(300)]
     running = [sample(f"s{n}", float(n % 180), f"e{n % 300}") for n in range(2_048)]
-    assert len(to_faster(running, views, NOW)) == len(looks) > 500
+    assert len(samples_to_move(running, views, NOW)) == len(looks) > 500
 
 
 def test_the_fastest_engine_with_fresh_weights_is_taken_where_faster_ones_have_none():
--- a/tests/policy/test_proxied_crashes.py
+++ b/tests/policy/test_proxied_crashes.py
@@ -16,7 +16,7 @@
     ConnectionBreak,
     CrashResolution,
     StartTimes,
-    may_have_ended,
+    may_have_crashed,
     probe_delays,
     resolve_crash,
 )
@@ -35,7 +35,7 @@
 def test_a_full_queue_is_not_attributed_to_a_request(probe_s, elapsed_s):
     """A full queue resets a request as fast as a connection without a request."""
     refused_at_once = ConnectionBreak(min(elapsed_s, probe_s), probe_s)
-    assert not may_have_ended(refused_at_once)
+    assert not may_have_crashed(refused_at_once)
 
 
 @given(elapsed_s=seconds, probe_s=seconds, reused=st.booleans())
@@ -43,18 +43,18 @@
     elapsed_s, probe_s, reused
 ):
     """Other requests go on there, so the endpoint still runs."""
-    assert not may_have_ended(ConnectionBreak(elapsed_s, probe_s, reused, others_active=True))
+    assert not may_have_crashed(ConnectionBreak(elapsed_s, probe_s, reused, others_active=True))
 
 
 @given(elapsed_s=seconds, probe_s=seconds, reused=st.booleans())
 def test_a_request_sent_after_a_reported_crash_is_not_suspected(elapsed_s, probe_s, reused):
-    assert not may_have_ended(ConnectionBreak(elapsed_s, probe_s, reused, reported_before=True))
+    assert not may_have_crashed(ConnectionBreak(elapsed_s, probe_s, reused, reported_before=True))
 
 
 @given(elapsed_s=st.floats(BEGUN_MARGIN_S * 2, 30.0), reused=st.booleans())
 def test_a_request_that_ran_when_all_connections_broke_is_suspected(elapsed_s, reused):
-    assert may_have_ended(ConnectionBreak(elapsed_s, 0.001, reused))
-    assert may_have_ended(ConnectionBreak(0.0, 0.001, reused=True))
+    assert may_have_crashed(ConnectionBreak(elapsed_s, 0.001, reused))
+    assert may_have_crashed(ConnectionBreak(0.0, 0.001, reused=True))
 
 
 @given(known=start_times, reported=st.none() | start_times)
--- a/tests/policy/test_sample_placement.py
+++ b/tests/policy/test_sample_placement.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 
 from threadramp.fleet.picture import Member
-from threadramp.policy.sample_placement import RunnerView, place
+from threadramp.policy.sample_placement import RunnerView, choose_runner
 from threadramp.wire.runner import ANY_MODEL, RunnerStatus
 
 NOW = 50.0
@@ -14,11 +14,11 @@
 def view(name: str, gap: float = 37.0, taken: int = 0, version: int = 3, ready: bool = True):
     member = Member(name, "sidecar", "1", f"{name}:1", f"zone of {name}", f"{name}:80")
     status = RunnerStatus("1", "i", ready, 12, taken, {"m": version}, gap)
-    return RunnerView(member, status, taken, heard=NOW)
+    return RunnerView(member, status, taken, last_answer_at=NOW)
 
 
 def chosen(views, min_version: int = 1, near: str = "", avoid: str = ""):
-    found = place(views, "m", min_version, near, avoid, NOW)
+    found = choose_runner(views, "m", min_version, near, avoid, NOW)
     return found.member.name if found is not None else None
 
 
@@ -33,7 +33,7 @@
 
 def test_full_loading_silent_and_stale_engines_get_nothing():
     silent = view("d")
-    silent.heard = NOW - 3.0
+    silent.last_answer_at = NOW - 3.0
     views = [view("a", taken=12), view("b", ready=False), view("c", version=1), silent]
     assert chosen(views, min_version=2) is None
 
--- a/tests/policy/test_true_time.py
+++ b/tests/policy/test_true_time.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadramp.policy.true_time import AGREE_S, HEARD_S, SURE_S, TrueTime
+from threadramp.policy.true_time import MAX_DEVIATION_S, READING_TTL_S, RELIABLE_AFTER_S, TrueTime
 
 BOOT = 1_790_000_000.0  # time of day at which the steady clock was 0
 
@@ -37,7 +37,7 @@
     clock = JumpingClock(jump=jump)
     true_time = TrueTime(clock)
     for box in ("a", "b"):
-        true_time.note(box, BOOT + clock.now(), clock.now())
+        true_time.add_reading(box, BOOT + clock.now(), clock.now())
     assert true_time.now() == BOOT + clock.now()
 
 
@@ -46,30 +46,30 @@
     """Of two that differ neither is known to be right; a second one that agrees with it decides."""
     clock = JumpingClock()
     true_time = TrueTime(clock)
-    true_time.note("off", BOOT + clock.now() + jump, clock.now())
+    true_time.add_reading("off", BOOT + clock.now() + jump, clock.now())
     assert true_time.now() == BOOT + clock.now()
-    true_time.note("off too", BOOT + clock.now() + jump, clock.now())
+    true_time.add_reading("off too", BOOT + clock.now() + jump, clock.now())
     assert true_time.now() == BOOT + clock.now() + jump
 
 
 def test_it_is_sure_once_two_others_told_or_nobody_will():
     clock = JumpingClock()
     true_time = TrueTime(clock)
-    true_time.note("a", BOOT + clock.now(), clock.now())
-    assert not true_time.is_sure()
-    true_time.note("b", BOOT + clock.now(), clock.now())
-    assert true_time.is_sure()
+    true_time.add_reading("a", BOOT + clock.now(), clock.now())
+    assert not true_time.is_reliable()
+    true_time.add_reading("b", BOOT + clock.now(), clock.now())
+    assert true_time.is_reliable()
     alone = TrueTime(clock)
-    assert not alone.is_sure()
-    clock.steady += SURE_S
-    assert alone.is_sure()
+    assert not alone.is_reliable()
+    clock.steady += RELIABLE_AFTER_S
+    assert alone.is_reliable()
 
 
 def test_messages_that_come_late_move_it_not():
     clock = JumpingClock()
     true_time = TrueTime(clock)
-    for late in (0.0, 0.1, AGREE_S - 0.01):
-        true_time.note("a", BOOT + clock.now() - late, clock.now())
+    for late in (0.0, 0.1, MAX_DEVIATION_S - 0.01):
+        true_time.add_reading("a", BOOT + clock.now() - late, clock.now())
         assert true_time.now() == BOOT + clock.now()
 
 
@@ -77,8 +77,8 @@
     clock = JumpingClock()
     true_time = TrueTime(clock)
     for box in ("a", "b"):
-        true_time.note(box, BOOT + clock.now() + 2.0, clock.now())
-    clock.steady += HEARD_S + 0.1
+        true_time.add_reading(box, BOOT + clock.now() + 2.0, clock.now())
+    clock.steady += READING_TTL_S + 0.1
     assert true_time.now() == BOOT + clock.now()
 
 
@@ -93,5 +93,5 @@
     wrong = len(jumps) + bool(own_jump)
     boxes = [*jumps, *[0.0] * (wrong + bool(own_jump) + more)]
     for number, jump in enumerate(boxes):
-        true_time.note(f"box-{number}", BOOT + clock.now() + jump, clock.now())
+        true_time.add_reading(f"box-{number}", BOOT + clock.now() + jump, clock.now())
     assert true_time.now() == BOOT + clock.now()
--- a/tests/policy/test_hurry.py
+++ b/tests/policy/test_urgent_loads.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from tests.policy.test_moves import NOW, view
-from threadramp.policy.hurry import engines_to_hurry
+from threadramp.policy.urgent_loads import engines_for_urgent_load
 
 
 def hurried(min_version: int, *views) -> list[str]:
-    return [one.member.name for one in engines_to_hurry(views, "m", min_version, NOW)]
+    return [one.member.name for one in engines_for_urgent_load(views, "m", min_version, NOW)]
 
 
 def test_two_fast_and_empty_engines_of_a_small_pool_are_asked():
@@ -26,5 +26,5 @@
 
 def test_engines_that_load_something_else_or_are_silent_are_not_asked():
     silent = view("silent")
-    silent.heard = NOW - 10
+    silent.last_answer_at = NOW - 10
     assert hurried(4, view("busy", loading="other"), silent, view("c")) == ["c"]
--- a/tests/policy/test_usage_schedule.py
+++ b/tests/policy/test_usage_schedule.py
@@ -20,16 +20,18 @@
 
 
 def test_a_new_holder_goes_on_behind_what_was_fixed():
-    assert SCHEDULE.first([4, 5, 6], began=0.0, now=37.0) == 7
-    assert SCHEDULE.first([], began=12.0, now=37.0) == 2
-    assert SCHEDULE.first([4], began=0.0, now=1000.0) == (1000 - 40) // 5  # nobody wants older ones
+    assert SCHEDULE.first_window([4, 5, 6], began=0.0, now=37.0) == 7
+    assert SCHEDULE.first_window([], began=12.0, now=37.0) == 2
+    assert (
+        SCHEDULE.first_window([4], began=0.0, now=1000.0) == (1000 - 40) // 5
+    )  # nobody wants older ones
 
 
 def test_no_window_is_passed_over_by_a_new_holder():
     for window in range(3, 9):
-        assert SCHEDULE.first([window], 0.0, SCHEDULE.end(window) + 20.0) == window + 1
+        assert SCHEDULE.first_window([window], 0.0, SCHEDULE.end(window) + 20.0) == window + 1
 
 
 def test_a_report_that_nobody_wants_any_more_is_given_up():
-    assert not SCHEDULE.is_over(3, 20.0 + 10.0 + 29.0)
-    assert SCHEDULE.is_over(3, 20.0 + 10.0 + 31.0)
+    assert not SCHEDULE.is_abandoned(3, 20.0 + 10.0 + 29.0)
+    assert SCHEDULE.is_abandoned(3, 20.0 + 10.0 + 31.0)
--- a/tests/policy/test_watch_share.py
+++ b/tests/policy/test_watcher_assignment.py
@@ -5,7 +5,7 @@
 import pytest
 
 from threadramp.fleet.picture import Member
-from threadramp.policy.watch_share import WATCHERS, leaders_of, watchers_in
+from threadramp.policy.watcher_assignment import WATCHERS, watchers_in, watchers_to_follow
 
 
 def gateways(count: int, data_centres: int = 1) -> list[Member]:
@@ -32,7 +32,7 @@
     fleet = gateways(350, data_centres)
     watchers = [one for n in range(data_centres) for one in watchers_in(f"dc{n}", fleet)]
     for number in range(data_centres):
-        leaders = leaders_of(f"dc{number}", fleet)
+        leaders = watchers_to_follow(f"dc{number}", fleet)
         assert len({one.name for one in leaders}) == WATCHERS
         assert leaders[0].data_centre == f"dc{number}"
         assert all(one in watchers for one in leaders)
@@ -40,9 +40,9 @@
 
 def test_where_a_watcher_goes_its_stand_in_stays_the_same():
     fleet = gateways(58, 6)
-    first, stand_in = leaders_of("dc0", fleet)
+    first, stand_in = watchers_to_follow("dc0", fleet)
     left = [one for one in fleet if one.name != first.name]
-    again, same = leaders_of("dc0", left)
+    again, same = watchers_to_follow("dc0", left)
     assert again.data_centre == "dc0"
     assert same == stand_in
 
--- a/tests/runner/test_weights.py
+++ b/tests/runner/test_weights.py
@@ -8,7 +8,7 @@
 
 from threadramp.fleet.clock import Clock
 from threadramp.fleet.model import WeightTarget
-from threadramp.policy.model_share import ModelShare
+from threadramp.policy.load_schedule import LoadSchedule
 from threadramp.runner import engine as engine_module
 from threadramp.runner.engine import Engine
 from threadramp.runner.weights import ANSWERS_S, Weights
@@ -41,7 +41,7 @@
         slots=12,
         targets_revision=revision,
         targets=targets,
-        share=more.pop("share", ModelShare({"m": 0})),
+        share=more.pop("share", LoadSchedule({"m": 0})),
         **more,
     )
 
@@ -71,7 +71,7 @@
     right = Right(number=0)
     weights = Weights(sidecar_engine, Clock(), right)
     sidecar_engine.learn(facts(version=2))
-    until = time.monotonic() + ModelShare({"m": 0}).new_s(1) + 0.5
+    until = time.monotonic() + LoadSchedule({"m": 0}).freshness_s(1) + 0.5
     turn_until(weights, lambda: time.monotonic() > until)
     right.number = 10
     turn_until(weights, lambda: engine.versions["m"] == 2)
@@ -105,7 +105,7 @@
     """Each model's own revision let a lower number follow a higher one."""
     weights = Weights(sidecar_engine, Clock(), Right(110))
     targets = (WeightTarget("m", 5, 100),)
-    share = ModelShare({"m": 0})
+    share = LoadSchedule({"m": 0})
     sidecar_engine.learn(
         Facts(1, "i-1", slots=12, targets_revision=120, targets=targets, share=share)
     )
@@ -141,7 +141,9 @@
 def test_an_engine_waits_for_its_turn(sidecar_engine, engine, clock):
     weights = Weights(sidecar_engine, clock, Right())
     now = int(clock.time_of_day() + 0.5) % 4
-    sidecar_engine.learn(facts(version=2, share=ModelShare({"m": 0}, turn=(now + 2) % 4, turns=4)))
+    sidecar_engine.learn(
+        facts(version=2, share=LoadSchedule({"m": 0}, turn=(now + 2) % 4, turns=4))
+    )
     sidecar_engine.read_report()
     weights.turn()
     clock.at += 1.5
@@ -155,7 +157,9 @@
 def test_a_hurried_engine_does_not_wait_for_its_turn(sidecar_engine, engine, clock):
     weights = Weights(sidecar_engine, clock, Right())
     now = int(clock.time_of_day() + 0.5) % 4
-    sidecar_engine.learn(facts(version=3, share=ModelShare({"m": 0}, turn=(now + 2) % 4, turns=4)))
+    sidecar_engine.learn(
+        facts(version=3, share=LoadSchedule({"m": 0}, turn=(now + 2) % 4, turns=4))
+    )
     sidecar_engine.read_report()
     weights.hurry("m")
     weights.turn()
--- a/tests/serve/test_clocks.py
+++ b/tests/serve/test_clocks.py
@@ -28,11 +28,11 @@
     window_now,
 )
 from tests.serve.way import put_before
-from threadramp.policy.duty_share import in_order
+from threadramp.policy.duty_assignment import succession_order
 
 LAUNCHER = Path(__file__).parent / "shifted.py"
 NAMES = [f"front-{number}" for number in range(3)]
-HOLDER, HEIR, COUNTS_ONLY = in_order(NAMES)
+HOLDER, HEIR, COUNTS_ONLY = succession_order(NAMES)
 JUMP_LASTS_S = 3.0
 IN_FORCE_S = 3.0  # the platform's bound for a change of the configuration
 
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -302,7 +302,7 @@
         "ends behind a port held against the sample",
         "sample_that_crashes_engines_behind_fronts",
         "src/threadramp/runner/engine_ends.py",
-        "return may_have_ended(ConnectionBreak(lived_s, found.took_s))",
+        "return may_have_crashed(ConnectionBreak(lived_s, found.took_s))",
         "return False",
     ),
     Removal.of_one(
@@ -394,7 +394,7 @@
         "the middle of several clocks",
         "start_while_its_own_clock_is_off",
         TRUE_TIME,
-        "return self.own if abs(self.own - middle) < AGREE_S else middle",
+        "return self.own if abs(self.own - middle) < MAX_DEVIATION_S else middle",
         "return self.own",
     ),
     Removal.of_one(
