--- a/src/threadramp/policy/__init__.py
+++ b/src/threadramp/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions that the core asks: routing, placement, retries, staleness."""
+"""Decisions without I/O: routing, placement, retries, scaling, crash handling and schedules."""
--- a/src/threadramp/policy/callers.py
+++ b/src/threadramp/policy/callers.py
@@ -1,4 +1,4 @@
-"""Who calls: the one decision that every way in asks, for calls, streams and lots."""
+"""Identifies callers by their key, for calls, streams and lots alike."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Denial(Enum):
-    """Why a caller is turned away."""
+    """Why a caller is rejected."""
 
     NO_KEY = "no key"
     UNKNOWN_KEY = "unknown key"
@@ -20,38 +20,38 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """Who calls.
+    """The organisation that a request comes from.
 
-    :param organisation: that it is known as; empty for nobody in particular, none where the
-        configuration names no organisations at all
-    :param priority: of that organisation, none if the route's counts
+    :param organisation: name of the organisation; empty for an anonymous caller, none if the
+        configuration contains no organisations
+    :param priority: priority of the organisation, none if the route's priority applies
     """
 
     organisation: str | None = None
     priority: int | None = None
 
     def with_priority(self, route: Route) -> Route:
-        """Return a route as it is for this caller: its priority goes before the route's."""
+        """Return the route with this caller's priority, which overrides the route's."""
         if self.priority in (None, route.priority):
             return route
         return replace(route, priority=self.priority)
 
 
-UNIDENTIFIED = Caller()  # where the configuration names no organisations
+UNIDENTIFIED = Caller()  # if the configuration contains no organisations
 ANONYMOUS = Caller("")  # without a key, on a public route
 
 
 def identify_caller(
     organisations: Organisations | None, key: bytes | None, public: bool
 ) -> Caller | Denial:
-    """Return who calls, or why it is turned away.
+    """Return the caller, or why it is rejected.
 
-    A public route needs no key. One that is sent all the same tells who calls if somebody holds it,
-    since what is done for a caller is better known by its name; else it tells nothing.
+    A public route needs no key. A known key is still used to identify the caller there, so that its
+    requests are attributed to its organisation; an unknown key is ignored.
 
-    :param organisations: of the configuration in force, none if it names none
-    :param key: as the caller sent it, empty if what it sent is no key, none if it sent nothing
-    :param public: whether no key is needed
+    :param organisations: of the active configuration, none if it contains none
+    :param key: as the caller sent it, empty if malformed, none if it sent no key
+    :param public: whether the route needs no key
     """
     if organisations is None:
         return UNIDENTIFIED
@@ -67,4 +67,4 @@
     return Caller(organisation.name, organisation.priority)
 
 
-__all__ = ["UNIDENTIFIED", "ANONYMOUS", "Caller", "Denial", "identify_caller"]
+__all__ = ["ANONYMOUS", "UNIDENTIFIED", "Caller", "Denial", "identify_caller"]
--- a/src/threadramp/policy/duty_assignment.py
+++ b/src/threadramp/policy/duty_assignment.py
@@ -1,7 +1,7 @@
-"""Which gateways collect for the fleet's duties, and which one may take them over.
+"""Assigns the fleet's duties: which gateways collect data for them, and which may take them over.
 
-No one is set aside for it: the holder of the right goes on while it answers, and the gateways that
-the duties fall to by their names collect beside it, so that what it knew outlasts it.
+No gateway is reserved for the duties. The holder of the lock keeps them while it answers. The first
+gateways of the succession order collect the same data, so that it survives the loss of the holder.
 """
 
 from __future__ import annotations
@@ -14,23 +14,24 @@
     from collections.abc import Collection, Sequence
 
 DUTIES = "duties"
-COLLECTORS = 2  # beside the holder: a holder and one collector may be lost at once
-# Rounds, a second apart, in which a gateway did not answer. With the 3 s for which the next holder
-# waits, a window that had just ended is reported 7 to 8 s after its end, of the 10 s that it has;
-# with three rounds it took 10.3 s. Taking over from one that is back at once costs two calls.
+COLLECTORS = 2  # besides the holder: the holder and one collector may be lost at the same time
+# Rounds, one second apart, without an answer until a gateway counts as gone. With the 3 s that the
+# next holder waits, a window that had just ended is reported 7 to 8 s after its end, within its
+# limit of 10 s; with three rounds it took 10.3 s. Taking over from a holder that answers again at
+# once costs two calls.
 MAX_MISSED_ROUNDS = 2
 
 
 def succession_order(names: Collection[str]) -> list[str]:
-    """Return gateways in the order in which the duties fall to them."""
+    """Return gateways in the order in which they take over the duties."""
     return rendezvous(DUTIES, sorted(names))
 
 
 def is_collector(me: str, holder: str, names: Collection[str]) -> bool:
-    """Return whether a gateway collects what the others tell.
+    """Return whether a gateway collects the reports of the others.
 
-    :param holder: as this gateway knows it, empty if nobody is
-    :param names: of all gateways that are not known to be gone
+    :param holder: the holder as known to this gateway, empty if there is none
+    :param names: all gateways that are not known to be gone
     """
     return me == holder or me in succession_order(names)[:COLLECTORS]
 
@@ -38,13 +39,14 @@
 def may_take_over(
     me: str, holder: str, names: Sequence[str], unanswered: dict[str, int], answered: int
 ) -> bool:
-    """Return whether a gateway may take the duties from a holder that is gone.
+    """Return whether a gateway may take over the duties from a holder that is gone.
 
-    One that hears few others is more likely cut off itself, and would take the duties to and fro.
+    A gateway without answers from a majority is probably cut off itself; if it took the duties
+    over, they would move back and forth.
 
-    :param names: of all gateways that are listed
-    :param unanswered: rounds in a row in which a gateway did not answer this one
-    :param answered: others that answered the last round
+    :param names: all gateways in the member list
+    :param unanswered: by gateway, the consecutive rounds in which it did not answer this one
+    :param answered: number of others that answered in the last round
     """
     if holder == me:
         return False
@@ -63,6 +65,6 @@
     "DUTIES",
     "MAX_MISSED_ROUNDS",
     "is_collector",
-    "succession_order",
     "may_take_over",
+    "succession_order",
 ]
--- a/src/threadramp/policy/endpoint_choice.py
+++ b/src/threadramp/policy/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint of a pool a caller's request goes to, and when a second one is asked."""
+"""Selects the endpoint of a pool for a request, and defines when a request is hedged."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
     from threadramp.fleet.model import Endpoint, Route, Start
     from threadramp.platform.headers import EndpointLoad
 
-SUSPEND_S = 0.5  # after a failure; doubles with each further one
-SUSPEND_MOST_S = 4.0
-ERRORS_UNTIL_SUSPEND = 3  # answers 500 in a row; a single one may be the request's own fault
-LOAD_AGE_S = 0.5  # a load that was told longer ago is not believed
-HEDGE_AFTER_SHARE = (
-    0.5  # share of the route's target after which a repeatable request is sent again
+SUSPEND_S = 0.5  # after a failure; doubles with each further failure
+MAX_SUSPEND_S = 4.0
+ERRORS_UNTIL_SUSPEND = (
+    3  # consecutive answers 500; a single one may be caused by the request itself
 )
+MAX_LOAD_AGE_S = 0.5  # an older load report is ignored
+# Share of the route's target latency after which a repeatable request is sent to a second endpoint.
+HEDGE_AFTER_SHARE = 0.5
 
 
 @dataclass
 class EndpointRecord:
-    """What this process has seen of one start of an endpoint."""
+    """What this process has observed of one incarnation of an endpoint."""
 
     open: int = 0
     failures: int = 0
@@ -35,7 +36,9 @@
 
 
 class EndpointSelector:
-    """Two choices on own counts and told load; endpoints that just failed come last.
+    """Picks the less loaded of two random endpoints; recently failed ones are a last resort.
+
+    The load is the larger of the own open requests and the load that the endpoint reported.
 
     :param random: a seeded source
     """
@@ -46,7 +49,7 @@
         self.lock = threading.Lock()
 
     def choose_pool(self, route: Route) -> str:
-        """Return the pool for one request of a route, by weight."""
+        """Return the pool for one request, chosen at random by the weights of the route."""
         shares = [share for share in route.shares if share.weight > 0] or list(route.shares)
         if len(shares) == 1:
             return shares[0].pool
@@ -56,33 +59,33 @@
     def choose(
         self, endpoints: Sequence[Endpoint], tried: Collection[Start], now: float
     ) -> Endpoint | None:
-        """Return an endpoint that was not tried yet, none if all were."""
-        fresh = [one for one in endpoints if not one.leaving and one.start not in tried]
-        if not fresh:
+        """Return an endpoint that was not tried yet, none if all were tried."""
+        untried = [one for one in endpoints if not one.leaving and one.start not in tried]
+        if not untried:
             return None
         with self.lock:
-            sound = [one for one in fresh if self._record(one).suspended_until <= now]
-            pair = self.random.sample(sound or fresh, min(2, len(sound or fresh)))
-            return min(pair, key=lambda one: self._expected(one, now))
+            healthy = [one for one in untried if self._record(one).suspended_until <= now]
+            candidates = self.random.sample(healthy or untried, min(2, len(healthy or untried)))
+            return min(candidates, key=lambda one: self._expected(one, now))
 
     def request_started(self, endpoint: Endpoint) -> None:
-        """Count a request that was sent."""
+        """Record that a request was sent."""
         with self.lock:
             self._record(endpoint).open += 1
 
     def request_finished(self, endpoint: Endpoint) -> None:
-        """Count a request that is over."""
+        """Record that a request ended."""
         with self.lock:
             record = self._record(endpoint)
             record.open = max(0, record.open - 1)
 
     def open_requests(self, endpoint: Endpoint) -> int:
-        """Return the requests of this process that are open at an endpoint."""
+        """Return how many requests of this process are open at an endpoint."""
         with self.lock:
             return self._record(endpoint).open
 
     def record_success(self, endpoint: Endpoint, load: EndpointLoad | None, now: float) -> None:
-        """Note a sound answer with the load that it told."""
+        """Record a successful answer and the load that it reported."""
         with self.lock:
             record = self._record(endpoint)
             record.failures = 0
@@ -93,28 +96,28 @@
                 record.load_at = now
 
     def record_failure(self, endpoint: Endpoint, now: float) -> float:
-        """Note a failure; returns the seconds for which others are preferred."""
+        """Record a failure; returns the seconds for which other endpoints are preferred."""
         with self.lock:
             record = self._record(endpoint)
             record.failures += 1
-            pause = min(SUSPEND_MOST_S, SUSPEND_S * 2 ** (record.failures - 1))
+            pause = min(MAX_SUSPEND_S, SUSPEND_S * 2 ** (record.failures - 1))
             record.suspended_until = now + pause
             return pause
 
     def record_server_error(self, endpoint: Endpoint, now: float) -> float:
-        """Note an answer 500; returns the seconds for which others are preferred."""
+        """Record an answer 500; returns the seconds for which other endpoints are preferred."""
         with self.lock:
             record = self._record(endpoint)
             record.errors += 1
             errors = record.errors
         return self.record_failure(endpoint, now) if errors >= ERRORS_UNTIL_SUSPEND else 0.0
 
-    def retain(self, starts: Collection[Start]) -> None:
-        """Drop what is known of all starts but these."""
+    def retain(self, incarnations: Collection[Start]) -> None:
+        """Drop the records of all other incarnations that have no open requests."""
         with self.lock:
-            for gone in [one for one in self.records if one not in starts]:
-                if not self.records[gone].open:
-                    del self.records[gone]
+            for stale in [one for one in self.records if one not in incarnations]:
+                if not self.records[stale].open:
+                    del self.records[stale]
 
     def _record(self, endpoint: Endpoint) -> EndpointRecord:
         return self.records.setdefault(endpoint.start, EndpointRecord())
@@ -122,10 +125,10 @@
     def _expected(self, endpoint: Endpoint, now: float) -> float:
         record = self._record(endpoint)
         slots = max(1, endpoint.slots)
-        told = 0
-        if record.load is not None and now - record.load_at <= LOAD_AGE_S:
-            told = record.load.running + record.load.waiting
-        return max(record.open, told) / slots
+        reported = 0
+        if record.load is not None and now - record.load_at <= MAX_LOAD_AGE_S:
+            reported = record.load.running + record.load.waiting
+        return max(record.open, reported) / slots
 
 
-__all__ = ["HEDGE_AFTER_SHARE", "EndpointSelector", "EndpointRecord"]
+__all__ = ["HEDGE_AFTER_SHARE", "EndpointRecord", "EndpointSelector"]
--- a/src/threadramp/policy/engine_host.py
+++ b/src/threadramp/policy/engine_host.py
@@ -1,11 +1,12 @@
-"""Which process runs an engine's samples, reads its report and orders its loads.
+"""Selects the gateway that replaces an engine's sidecar.
 
-The load that this answers: a sidecar that is down, frozen, cut off or not there at all while its
-engine is well. Where no box beside the engines had a process of ours, no sample ever ran.
+A sidecar may be down, frozen, cut off or not deployed while its engine is healthy. Without a
+replacement, no sample ever ran where none of our processes was deployed next to the engines.
 
-Its own sidecar does while that lives: its report is fresh and free there. Else a gateway of its
-data centre, by rendezvous hashing over the living ones, so that two rarely choose the same and the
-engines of a data centre are spread over its gateways.
+An engine's own sidecar runs its samples, reads its reports and orders its loads while it is alive,
+because reports are up to date and free there. Otherwise a gateway of the same data centre does.
+Rendezvous hashing over the live gateways spreads the engines over them, and makes it rare that two
+gateways choose differently.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 def gateway_for_engine(
     engine: str, data_centre: str, gateways: Iterable[Member], unresponsive: Collection[str] = ()
 ) -> Member | None:
-    """Return the gateway that stands in for an engine's sidecar, none if no gateway is left.
+    """Return the gateway that replaces an engine's sidecar, none if no gateway is alive.
 
-    :param engine: its address
-    :param data_centre: in which it stands; where no gateway lives there, any other does
+    :param engine: address of the engine
+    :param data_centre: data centre of the engine; if no gateway is alive there, any other is used
     :param unresponsive: names of gateways that do not answer
     """
-    living = {one.name: one for one in gateways if one.name not in unresponsive}
-    near = [name for name, one in living.items() if one.data_centre == data_centre]
-    chosen = rendezvous(engine, sorted(near or living))
-    return living[chosen[0]] if chosen else None
+    live = {one.name: one for one in gateways if one.name not in unresponsive}
+    near = [name for name, one in live.items() if one.data_centre == data_centre]
+    chosen = rendezvous(engine, sorted(near or live))
+    return live[chosen[0]] if chosen else None
 
 
 __all__ = ["gateway_for_engine"]
--- a/src/threadramp/policy/listing_policy.py
+++ b/src/threadramp/policy/listing_policy.py
@@ -1,8 +1,8 @@
-"""When the results of a lot are written, so that they are listed.
+"""Decides when the results of a lot are written to the store, which makes them listed.
 
-Each write is a priced call to the store, and a trainer goes on only once it has the whole groups
-that it waits for. What is listed sooner than that gains nothing; what is listed after the lot is
-due, or after the last group that was missing, is late by as much.
+Each write is a billed call to the store, and a trainer continues only once it has the complete
+groups that it waits for. Listing results earlier gains nothing. Listing them after the lot is due,
+or after the last missing group, delays the trainer by that time.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from threadramp.config.registry import Registry
 
 LISTINGS: Registry[type[ListingPolicy]] = Registry()
-OTHERS_S = 0.3  # a result that completes no group waits so long for others
-# Results wait so long where nobody waits for them yet. A box that is lost takes those along that
-# are not written: up to a second of short samples, the long ones are saved while they run.
+BATCH_WAIT_S = 0.3  # a result that completes no group waits this long for others
+# Results wait this long while the trainer does not need them yet. A lost box loses its unwritten
+# results: up to a second of short samples; long samples are saved while they run.
 GATHER_S = 1.0
-# Before the lot is due; a write takes 5 ms, with a busy store some tenths of a second, and trainers
-# read twice a second.
-NEAR_S = 1.2
+# Time before the lot is due from which results are written at once. A write takes 5 ms, some tenths
+# of a second if the store is busy, and trainers read twice a second.
+DUE_MARGIN_S = 1.2
 
 
 @dataclass(frozen=True)
 class PendingResults:
-    """What waits to be written of one lot.
+    """The results of one lot that are not written yet.
 
-    :param oldest_at: time at which the first of the results was there
+    :param oldest_at: time at which the first of these results arrived
     :param completes_group: whether any of them completes its group
-    :param complete_groups: groups that are whole with these results
-    :param wanted_groups: whole groups that the trainer waits for, 0 if it did not say
+    :param complete_groups: number of complete groups, including these results
+    :param wanted_groups: number of complete groups that the trainer waits for, 0 if unknown
     :param due: time at which the lot is due
     """
 
@@ -40,34 +40,39 @@
 
 
 class ListingPolicy:
-    """Base of the ways."""
+    """Base of the listing policies."""
 
-    def is_due(self, unlisted: PendingResults, now: float) -> bool:
-        """Return whether it is written now."""
+    def is_due(self, pending: PendingResults, now: float) -> bool:
+        """Return whether the results are written now."""
         raise NotImplementedError
 
 
 @LISTINGS.register("at_once")
 class ImmediateListing(ListingPolicy):
-    """Each whole group as it is whole, other results after a moment."""
+    """Writes each group as soon as it is complete, other results after a short wait."""
 
-    def is_due(self, unlisted: PendingResults, now: float) -> bool:
-        """Return whether it is written now."""
-        return unlisted.completes_group or unlisted.oldest_at <= now - OTHERS_S
+    def is_due(self, pending: PendingResults, now: float) -> bool:
+        """Return whether the results are written now."""
+        return pending.completes_group or pending.oldest_at <= now - BATCH_WAIT_S
 
 
 @LISTINGS.register("as_needed")
 class DeferredListing(ImmediateListing):
-    """Gathered, until the trainer has what it waits for or the lot is nearly due."""
-
-    def is_due(self, unlisted: PendingResults, now: float) -> bool:
-        """Return whether it is written now."""
-        is_waited_for = (
-            not unlisted.wanted_groups or unlisted.complete_groups >= unlisted.wanted_groups
-        )
-        if is_waited_for or now >= unlisted.due - NEAR_S:
-            return super().is_due(unlisted, now)
-        return unlisted.oldest_at <= now - GATHER_S
-
-
-__all__ = ["GATHER_S", "LISTINGS", "NEAR_S", "OTHERS_S", "ListingPolicy", "PendingResults"]
+    """Batches results until the trainer's groups are complete or the lot is nearly due."""
+
+    def is_due(self, pending: PendingResults, now: float) -> bool:
+        """Return whether the results are written now."""
+        is_needed = not pending.wanted_groups or pending.complete_groups >= pending.wanted_groups
+        if is_needed or now >= pending.due - DUE_MARGIN_S:
+            return super().is_due(pending, now)
+        return pending.oldest_at <= now - GATHER_S
+
+
+__all__ = [
+    "BATCH_WAIT_S",
+    "DUE_MARGIN_S",
+    "GATHER_S",
+    "LISTINGS",
+    "ListingPolicy",
+    "PendingResults",
+]
--- a/src/threadramp/policy/load_schedule.py
+++ b/src/threadramp/policy/load_schedule.py
@@ -1,20 +1,22 @@
-"""Which versions of which models an engine loads when several trainers share a pool, and when.
-
-The load that this answers: several models on one pool, a version of each named every few seconds,
-0.9 s for a load and longer while many engines load, lots handed in in bursts as their version is
-named. Engines could load every version of every model, but then most of their time goes into loads.
-
-A lot of step k takes version k - 1 and newer, so a version that is loaded serves the lots of two
-steps. In a small pool each engine therefore holds all models. Engines load in turns by the clock,
-few at once, whatever is named when; in its turn an engine loads a version that was named lately,
-else a model of which it can run nothing. That is as many loads as if the engines were dealt out to
-the models, but each lot finds more engines, an engine that leaves is missed by all models alike,
-and a model with more work takes more of the pool. Only samples of the model that is loaded wait.
-
-Grounds (third customer's sheet, 20 days of five kinds; docs/design/load.md): mean wait of a lot's
-last sample 0.20 s; 0.39 s where versions were loaded as soon as they were named (six loads at once
-took 2.4 s each); 1 to 3 s in bursts where the engines were dealt out in blocks.
-In a large pool the engines are dealt out in blocks, so that a lot's gateway need not know them all.
+"""Schedules which model versions an engine loads, and when, if several trainers share a pool.
+
+Several models share one pool. A version of each is published every few seconds, a load takes 0.9 s
+and longer while many engines load, and lots are submitted in bursts when their version is
+published. If engines loaded every version of every model, they would spend most of their time
+loading.
+
+A lot of step k accepts version k - 1 and newer, so a loaded version serves the lots of two steps.
+In a small pool each engine therefore holds all models. Engines load in turns by the clock, few at
+the same time, whenever versions are published. In its turn an engine loads a recently published
+version, else a model of which it can run no lot. This needs as many loads as assigning each engine
+to one model, but each lot finds more engines, the loss of an engine affects all models equally, and
+a model with more work uses more of the pool. Only samples of the model that is being loaded wait.
+
+Evidence (workload of the third customer, 20 simulated days of five kinds; docs/design/load.md): the
+mean wait of a lot's last sample is 0.20 s. It was 0.39 s when versions were loaded as soon as they
+were published (six concurrent loads took 2.4 s each), and 1 to 3 s in bursts when engines were
+assigned to models in blocks. A large pool is still divided into blocks, so that the gateway of a
+lot need not know all engines.
 """
 
 from __future__ import annotations
@@ -27,20 +29,24 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TURNS = 3  # the users' sheets let 2 of 5, 2 of 6 and 8 of 21 engines load before loads get longer
-LEAST_AT_ONCE = 2  # engines that load at once, from the same sheets
+# The users' workloads allow 2 of 5, 2 of 6 and 8 of 21 engines to load before loads slow down, so
+# at most one engine in this many loads at the same time.
+ENGINES_PER_LOAD = 3
+MIN_CONCURRENT_LOADS = 2  # from the same workloads
 TURN_S = 1.0  # a load takes 0.9 s
-BEGIN_SHARE = 0.4  # of a turn; engines are looked at each 0.2 s, and a load fits into the turn
+# Share of a turn in which a load may begin: engines are polled every 0.2 s, and the load fits into
+# the turn.
+BEGIN_SHARE = 0.4
 
 
 @dataclass(frozen=True)
 class LoadSchedule:
-    """What one engine loads.
+    """Which models one engine loads, and in which turns.
 
-    :param shifts: by model, the place at which it comes where several models wait for a load;
-        empty if the engine loads nothing
-    :param turn: in which the engine begins to load, from 0
-    :param turns: after so many it is its turn again
+    :param shifts: by model, its position in the order in which waiting models are loaded; empty if
+        the engine loads nothing
+    :param turn: number of the turn in which the engine may begin to load, from 0
+    :param turns: number of turns in a cycle
     """
 
     shifts: dict[str, int]
@@ -48,24 +54,25 @@
     turns: int = 1
 
     def freshness_s(self, versions_apart: int) -> float:
-        """Return for how long after its naming a version is loaded by the engines in turn.
+        """Return for how long after its publication a version counts as new.
 
-        So long that an even share of them comes up: all engines for one model, a third for three.
+        In that time an equal share of the engines has its turn: all for one model, a third for
+        three.
 
-        :param versions_apart: 2 if an engine is to load every second version only
+        :param versions_apart: 2 if an engine loads only every second version
         """
         return self.turns * TURN_S / max(1, len(self.shifts)) / versions_apart
 
 
 def holds_all_models(engines: int) -> bool:
-    """Return whether each engine of a pool of that size holds all models of the pool."""
+    """Return whether each engine of a pool of this size holds all models of the pool."""
     return engines <= SMALL_POOL
 
 
 def load_schedule(rank: int, engines: int, models: Sequence[str]) -> LoadSchedule:
-    """Return what one engine loads.
+    """Return the schedule of one engine.
 
-    :param rank: place of the engine among ``engines``, from 0
+    :param rank: position of the engine among ``engines``, from 0
     :param models: all models of the pool
     """
     ordered = sorted(models)
@@ -80,18 +87,18 @@
 
 
 def max_concurrent_loads(engines: int) -> int:
-    """Return how many engines of a pool load at once before loads get longer."""
-    return max(LEAST_AT_ONCE, engines // TURNS)
+    """Return how many engines of a pool may load at the same time without slowing down."""
+    return max(MIN_CONCURRENT_LOADS, engines // ENGINES_PER_LOAD)
 
 
 def is_turn(turn: int, turns: int, seconds: float) -> bool:
-    """Return whether an engine may begin to load now, so that few of a pool load at once.
+    """Return whether an engine may begin to load now, so that few load at the same time.
 
-    All engines have the same turns, whichever model they load and however many versions are named
-    together; where each began when its version was named, six loaded at once, for 2.4 s, and again
-    as soon as they were done.
+    Turns depend on the clock alone, not on the model or on the number of versions published
+    together. When each engine loaded as soon as its version was published, six loaded at the same
+    time, for 2.4 s, and again as soon as they had finished.
 
-    :param seconds: of the time of day, which differs little from box to box
+    :param seconds: time of day in seconds, which differs little between boxes
     """
     if turns <= 1:
         return True
@@ -101,10 +108,10 @@
 
 @dataclass(frozen=True)
 class PublishedVersion:
-    """The newest version that is named of a model, and what an engine has of it.
+    """The newest published version of a model, and the version that an engine holds.
 
     :param held: version that the engine holds, 0 if it lacks the model
-    :param age_s: seconds for which the engine's sidecar has known that the version is named
+    :param age_s: seconds since the engine's sidecar learned of the publication
     """
 
     model: str
@@ -113,43 +120,46 @@
     age_s: float
 
     @property
-    def is_wanted(self) -> bool:
-        """Return whether the engine has an older version of the model."""
+    def is_outdated(self) -> bool:
+        """Return whether the engine holds an older version of the model."""
         return 0 < self.held < self.version
 
     @property
-    def is_useless(self) -> bool:
-        """Return whether the engine can run nothing of the newest lot, which allows one before."""
+    def is_unusable(self) -> bool:
+        """Return whether the engine cannot run the newest lot, which accepts one version before."""
         return 0 < self.held < self.version - 1
 
 
 def next_load(
-    named: Sequence[PublishedVersion],
-    share: LoadSchedule,
+    published: Sequence[PublishedVersion],
+    schedule: LoadSchedule,
     seconds: float,
     versions_apart: int = 1,
     urgent_model: str = "",
 ) -> PublishedVersion | None:
-    """Return which version an engine begins to load now, none if it begins none.
+    """Return the version that an engine starts to load now, none if it starts none.
 
-    In its turn it loads what was named lately: the lot of the next version may be handed in any
-    moment, and takes this one. Else it makes up for a model of which it can run nothing. Where
-    there are several, as after an outage, engines in a row begin with different models; all began
-    with the one that was furthest behind, and the lots of another waited 9.7 s.
+    In its turn it loads a recently published version, because the lot of the next version may be
+    submitted at any moment and accepts this one. Otherwise it loads a model of which it cannot run
+    the newest lot. If there are several, as after an outage, consecutive engines begin with
+    different models: when all began with the one furthest behind, lots of another waited 9.7 s.
 
-    :param seconds: of the time of day
-    :param versions_apart: 2 if an engine is to load every second version only
-    :param urgent_model: model that a gateway wants now, since no engine can run what waits for it
+    :param seconds: time of day in seconds
+    :param versions_apart: 2 if an engine loads only every second version
+    :param urgent_model: model that a gateway requests out of turn, because no engine can run its
+        waiting samples
     """
-    wanted = [one for one in named if one.is_wanted]
-    for one in wanted:
-        if one.model == urgent_model and one.is_useless:
+    outdated = [one for one in published if one.is_outdated]
+    for one in outdated:
+        if one.model == urgent_model and one.is_unusable:
             return one
-    if not is_turn(share.turn, share.turns, seconds):
+    if not is_turn(schedule.turn, schedule.turns, seconds):
         return None
-    new_s = share.freshness_s(versions_apart)
-    due = [one for one in wanted if one.age_s < new_s or one.is_useless]
-    return min(due, key=lambda one: (one.age_s >= new_s, share.shifts[one.model]), default=None)
+    freshness_s = schedule.freshness_s(versions_apart)
+    due = [one for one in outdated if one.age_s < freshness_s or one.is_unusable]
+    return min(
+        due, key=lambda one: (one.age_s >= freshness_s, schedule.shifts[one.model]), default=None
+    )
 
 
 __all__ = [
@@ -157,7 +167,7 @@
     "PublishedVersion",
     "holds_all_models",
     "is_turn",
-    "max_concurrent_loads",
     "load_schedule",
+    "max_concurrent_loads",
     "next_load",
 ]
--- a/src/threadramp/policy/locality.py
+++ b/src/threadramp/policy/locality.py
@@ -1,4 +1,4 @@
-"""Prefer endpoints of the gateway's own region while one of them has room."""
+"""Prefers endpoints in the gateway's own region while one of them has free slots."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 def prefer_region(
     members: Sequence[Member], home: str, data_centres: Mapping[str, DataCentre]
 ) -> Sequence[Member]:
-    """Return the members of the home's region if one of them has room, else all.
+    """Return the members in this gateway's region if one of them has free slots, else all.
 
-    :param home: data centre of this gateway; one that is not declared has no region
+    :param home: data centre of this gateway; an undeclared one has no region
     """
     own = data_centres.get(home)
     if own is None:
         return members
     near = [member for member in members if _region(member, data_centres) == own.region]
-    return near if any(_has_room(member) for member in near) else members
+    return near if any(_has_free_slots(member) for member in near) else members
 
 
 def _region(member: Member, data_centres: Mapping[str, DataCentre]) -> str | None:
@@ -30,7 +30,7 @@
     return None if data_centre is None else data_centre.region
 
 
-def _has_room(member: Member) -> bool:
+def _has_free_slots(member: Member) -> bool:
     report = member.report
     return report is not None and report.running + report.queued < report.slots
 
--- a/src/threadramp/policy/moves.py
+++ b/src/threadramp/policy/moves.py
@@ -1,10 +1,10 @@
-"""Which running samples go on at a faster engine.
+"""Selects the running samples that move to a faster engine.
 
-The load that this answers: steps that wait for their longest samples, on engines of one pool that
-differ in speed: lasting (one in three was 1.3 times slower) or for a spell (2.6 to 3.8 times, 6 to
-8 s). A sample of 187 events takes 7.0 s at one engine and 9.5 s at another, its lot is due after
-7.5 s, and where it starts is often decided by which engines hold a version that is fresh enough.
-A run goes on elsewhere behind its last event; its prompt and text are read again, some 30 ms.
+A step waits for its longest samples, and the engines of a pool differ in speed: permanently (one in
+three was 1.3 times slower) or temporarily (2.6 to 3.8 times slower, for 6 to 8 s). A sample of 187
+events takes 7.0 s at one engine and 9.5 s at another, while its lot is due after 7.5 s. Where it
+starts often depends only on which engines hold a recent enough version. A moved run resumes after
+its last event; the other engine reads its prompt and text again, which takes some 30 ms.
 """
 
 from __future__ import annotations
@@ -19,20 +19,22 @@
 
     from threadramp.policy.sample_placement import RunnerView
 
-MOVE_S = 0.3  # a move takes 0.1 to 0.2 s between the last event here and the next there; twice that
-MIN_EVENTS_BEFORE_MOVE = (
-    10  # that it had at its engine; so a sample is not moved on at once, to and fro
-)
-FASTER = 1.2  # gaps of equal engines differ by less: 37 to 42 ms, with one to twelve samples
+# Minimum time that a move must save. It takes 0.1 to 0.2 s from the last event at the old engine to
+# the next one at the new engine; this is about twice that.
+MIN_GAIN_S = 0.3
+# Events that a sample must have had at its engine, so that it is not moved back and forth.
+MIN_EVENTS_BEFORE_MOVE = 10
+# Minimum ratio of the event gaps. Equal engines differ by less: 37 to 42 ms with 1 to 12 samples.
+MIN_SPEEDUP = 1.2
 
 
 @dataclass(frozen=True)
 class RunningSample:
-    """A sample that runs.
+    """A running sample.
 
     :param runner: name of the sidecar that runs it
-    :param events_here: events that it had there
-    :param events_left: events that are about to come
+    :param events_here: number of events since it runs there
+    :param events_left: expected number of remaining events
     """
 
     lot: str
@@ -47,52 +49,53 @@
 def samples_to_move(
     running: Sequence[RunningSample], views: Sequence[RunnerView], now: float
 ) -> list[RunningSample]:
-    """Return the samples that are done sooner elsewhere though they lose the time of a move.
+    """Return the samples that finish earlier elsewhere despite the time that a move takes.
 
-    Those that gain most choose first; no more leave than there is room for.
+    Those with the longest remaining time choose first. No more are returned than other engines have
+    free slots.
     """
-    usual = median_gap_ms(views)
-    gaps = {view.member.name: _gap_ms(view, usual) for view in views}
-    room = {view.member.name: view.free_slots(now) for view in views}
-    with_room = [view for view in views if room[view.member.name]]
+    usual_gap_ms = median_gap_ms(views)
+    gaps = {view.member.name: _gap_ms(view, usual_gap_ms) for view in views}
+    free_slots = {view.member.name: view.free_slots(now) for view in views}
+    with_room = [view for view in views if free_slots[view.member.name]]
     fastest_first = sorted(with_room, key=lambda view: gaps[view.member.name])
     settled = [one for one in running if one.events_here >= MIN_EVENTS_BEFORE_MOVE]
     moved = []
     for one in sorted(settled, key=lambda one: -one.events_left * gaps.get(one.runner, 0.0)):
-        there = _faster(one, fastest_first, gaps)
+        there = _faster_engine(one, fastest_first, gaps)
         if there is None:
             continue
         moved.append(one)
-        room[there.member.name] -= 1
-        if not room[there.member.name]:
+        free_slots[there.member.name] -= 1
+        if not free_slots[there.member.name]:
             fastest_first.remove(there)
     return moved
 
 
-def _faster(
+def _faster_engine(
     one: RunningSample, fastest_first: Sequence[RunnerView], gaps: Mapping[str, float]
 ) -> RunnerView | None:
-    """Return the fastest engine at which a sample is done sooner, none if there is none."""
+    """Return the fastest engine at which a sample finishes earlier, none if there is none."""
     here = gaps.get(one.runner, 0.0)
     for view in fastest_first:
         there = gaps[view.member.name]
         if not there:
-            continue  # nothing is known of it
-        if not _pays(one.events_left, here, there):
-            return None  # nor at those behind it
+            continue  # its speed is unknown
+        if not _is_worthwhile(one.events_left, here, there):
+            return None  # the rest is slower still
         if has_fresh_weights(view, one.model, one.min_version):
             return view
     return None
 
 
-def _pays(left: float, here_ms: float, there_ms: float) -> bool:
-    """Return whether a sample is done sooner at another engine."""
-    return here_ms > FASTER * there_ms > 0 and left * (here_ms - there_ms) / 1000 > MOVE_S
+def _is_worthwhile(left: float, here_ms: float, there_ms: float) -> bool:
+    """Return whether a sample finishes earlier at another engine, the move included."""
+    return here_ms > MIN_SPEEDUP * there_ms > 0 and left * (here_ms - there_ms) / 1000 > MIN_GAIN_S
 
 
-def _gap_ms(view: RunnerView, usual: float) -> float:
-    """Return the time between two events at an engine; one that tells none is taken as usual."""
-    return view.status.gap_ms or usual if view.status is not None else 0.0
+def _gap_ms(view: RunnerView, usual_gap_ms: float) -> float:
+    """Return the gap between events at an engine; the usual one if it reports none."""
+    return view.status.gap_ms or usual_gap_ms if view.status is not None else 0.0
 
 
 __all__ = ["RunningSample", "samples_to_move"]
--- a/src/threadramp/policy/placement.py
+++ b/src/threadramp/policy/placement.py
@@ -1,4 +1,4 @@
-"""Where the samples of a step go, and when a slow one gets a second attempt."""
+"""Places the samples of a step on endpoints."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class EndpointCapacity:
-    """How many more samples an endpoint takes, and which groups it has."""
+    """The free slots and the load of an endpoint, and the groups of which it has samples."""
 
     endpoint: str
     free: int
@@ -24,31 +24,31 @@
 
 
 class Placement:
-    """Base of the placements."""
+    """Base of the placement policies."""
 
-    def choose(self, group: str, rooms: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
-        """Return where a sample of ``group`` goes, or none while no endpoint has room."""
+    def choose(self, group: str, endpoints: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
+        """Return the endpoint for a sample of ``group``, none if no endpoint has free slots."""
         raise NotImplementedError
 
 
 @PLACEMENTS.register("least_loaded")
 class LeastLoaded(Placement):
-    """The endpoint with the most room."""
+    """Places a sample on the endpoint with the most free slots."""
 
-    def choose(self, group: str, rooms: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
-        """Return where a sample of ``group`` goes, or none while no endpoint has room."""
-        open_rooms = [room for room in rooms if room.free > 0]
-        return max(open_rooms, key=lambda room: (room.free, room.endpoint), default=None)
+    def choose(self, group: str, endpoints: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
+        """Return the endpoint for a sample of ``group``, none if no endpoint has free slots."""
+        available = [endpoint for endpoint in endpoints if endpoint.free > 0]
+        return max(available, key=lambda endpoint: (endpoint.free, endpoint.endpoint), default=None)
 
 
 @PLACEMENTS.register("siblings")
 class Siblings(LeastLoaded):
-    """An endpoint that has siblings of the group while it has room, else the least loaded."""
+    """Prefers an endpoint with samples of the same group, else takes the least loaded one."""
 
-    def choose(self, group: str, rooms: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
-        """Return where a sample of ``group`` goes, or none while no endpoint has room."""
-        kin = [room for room in rooms if group in room.groups]
-        return super().choose(group, kin) or super().choose(group, rooms)
+    def choose(self, group: str, endpoints: Sequence[EndpointCapacity]) -> EndpointCapacity | None:
+        """Return the endpoint for a sample of ``group``, none if no endpoint has free slots."""
+        siblings = [endpoint for endpoint in endpoints if group in endpoint.groups]
+        return super().choose(group, siblings) or super().choose(group, endpoints)
 
 
-__all__ = ["LeastLoaded", "PLACEMENTS", "Placement", "EndpointCapacity", "Siblings"]
+__all__ = ["PLACEMENTS", "EndpointCapacity", "LeastLoaded", "Placement", "Siblings"]
--- a/src/threadramp/policy/reserve.py
+++ b/src/threadramp/policy/reserve.py
@@ -1,4 +1,4 @@
-"""How many slots a sidecar keeps free for calls while rollouts run."""
+"""Decides how many slots a sidecar reserves for calls while rollouts run."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ReservePolicy:
-    """Base of the reserve policies: keep nothing free."""
+    """Base of the reserve policies; reserves nothing."""
 
     def record_arrival(self, now: float) -> None:
-        """Note the arrival of a call."""
+        """Record the arrival of a call."""
 
     def reserved_slots(self, slots: int, running: int, now: float) -> int:
         """Return how many free slots a new rollout must leave."""
@@ -20,27 +20,27 @@
 
 @RESERVES.register("none")
 class NoReserve(ReservePolicy):
-    """Keep nothing free; rollouts give way when a call waits."""
+    """Reserves nothing; rollouts give way when a call waits."""
 
 
 @RESERVES.register("recent")
 class RecentReserve(ReservePolicy):
-    """Keep one slot free for a while after a call has arrived.
+    """Reserves one slot for a while after a call has arrived.
 
-    :param hold_s: how long after an arrival
+    :param hold_s: seconds after the last arrival
     """
 
     def __init__(self, hold_s: float = 2.0) -> None:
         self.hold_s = hold_s
-        self.last = float("-inf")
+        self.last_arrival = float("-inf")
 
     def record_arrival(self, now: float) -> None:
-        """Note the arrival of a call."""
-        self.last = now
+        """Record the arrival of a call."""
+        self.last_arrival = now
 
     def reserved_slots(self, slots: int, running: int, now: float) -> int:
         """Return how many free slots a new rollout must leave."""
-        return 1 if slots > 1 and now - self.last < self.hold_s else 0
+        return 1 if slots > 1 and now - self.last_arrival < self.hold_s else 0
 
 
 __all__ = ["NoReserve", "RESERVES", "RecentReserve", "ReservePolicy"]
--- a/src/threadramp/policy/retries.py
+++ b/src/threadramp/policy/retries.py
@@ -1,25 +1,25 @@
-"""Budgets that keep retries and writes from feeding a storm."""
+"""Budgets that limit retries and writes under overload."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """A budget that refills at a steady rate.
+    """A token bucket that refills at a constant rate.
 
-    :param rate: tokens a second
-    :param burst: most tokens that are saved up
+    :param rate: tokens per second
+    :param burst: capacity in tokens
     """
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
         self.burst = burst
         self.tokens = burst
-        self.filled = now
+        self.refilled_at = now
 
     def take(self, now: float) -> bool:
-        """Spend one token, if there is one."""
-        self.tokens = min(self.burst, self.tokens + (now - self.filled) * self.rate)
-        self.filled = now
+        """Take one token; returns false if there is none."""
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -27,10 +27,10 @@
 
 
 class RetryBudget:
-    """Retries as a share of first attempts.
+    """Limits retries to a share of the first attempts.
 
-    :param share: retries that each first attempt pays for
-    :param burst: most retries that are saved up
+    :param share: retries that each first attempt adds to the budget
+    :param burst: maximum of the saved retries
     """
 
     def __init__(self, share: float = 0.2, burst: float = 10.0) -> None:
@@ -39,11 +39,11 @@
         self.saved = burst
 
     def record_first_attempt(self) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
         self.saved = min(self.burst, self.saved + self.share)
 
     def retry(self) -> bool:
-        """Spend one retry, if there is one."""
+        """Take one retry; returns false if there is none."""
         if self.saved < 1:
             return False
         self.saved -= 1
--- a/src/threadramp/policy/routing.py
+++ b/src/threadramp/policy/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a call goes to."""
+"""Selects the endpoint for a call."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Routing:
-    """Base of the routings.
+    """Base of the routing policies.
 
     :param random: a seeded source
     """
@@ -28,14 +28,14 @@
     def choose(self, candidates: Sequence[Member], outstanding: dict[str, int]) -> Member:
         """Return one of the candidates, of which there is at least one.
 
-        :param outstanding: calls that this gateway has open, by endpoint
+        :param outstanding: number of open calls of this gateway, by endpoint
         """
         raise NotImplementedError
 
 
 @ROUTINGS.register("round_robin")
 class RoundRobin(Routing):
-    """Each endpoint in turn."""
+    """Uses each endpoint in turn."""
 
     def __init__(self, random: Random) -> None:
         super().__init__(random)
@@ -49,7 +49,7 @@
 
 @ROUTINGS.register("two_choice")
 class TwoChoice(Routing):
-    """The less loaded of two drawn at random, by the sidecars' own counts."""
+    """Uses the less loaded of two random endpoints, by the loads that their sidecars report."""
 
     def choose(self, candidates: Sequence[Member], outstanding: dict[str, int]) -> Member:
         """Return the candidate with the shorter expected wait."""
@@ -58,7 +58,7 @@
 
 
 def rendezvous(key: str, names: Sequence[str]) -> list[str]:
-    """Return ``names`` in the order in which ``key`` prefers them."""
+    """Return ``names`` in the order of their rendezvous hashes with ``key``."""
 
     def weight(name: str) -> bytes:
         return blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
@@ -67,7 +67,7 @@
 
 
 def hash_fraction(name: str) -> float:
-    """Return a number from 0 to 1 by a name, spread evenly over many names."""
+    """Return a number from 0 to 1 from the hash of a name, evenly distributed over many names."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest()) / 2**32
 
 
--- a/src/threadramp/policy/sample_placement.py
+++ b/src/threadramp/policy/sample_placement.py
@@ -1,4 +1,4 @@
-"""Which sidecar runs which sample, and when a running sample is better moved."""
+"""Selects the sidecar that runs a sample."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     from threadramp.fleet.picture import Member
     from threadramp.wire.runner import RunnerStatus
 
-SPEED_STEP = 1.15  # engines whose gaps differ by less than this count as equally fast
-STATUS_AGE_S = 2.0  # a sidecar that was silent for longer gets nothing
+SPEED_STEP = 1.15  # engines whose event gaps differ by a smaller ratio count as equally fast
+MAX_STATUS_AGE_S = 2.0  # a sidecar without an answer for longer gets no samples
 
 
 @dataclass
 class RunnerView:
-    """A sidecar as one gateway sees it.
+    """The state of a sidecar as known to one gateway.
 
-    :param assigned: samples there, those just sent included
+    :param assigned: number of samples there, including those just sent
     :param last_answer_at: time of its last answer
-    :param first_asked_at: time at which it was first asked
+    :param first_asked_at: time of the first request to it
     """
 
     member: Member
@@ -35,11 +35,11 @@
     first_asked_at: float = 0.0
 
     def is_ready(self, now: float) -> bool:
-        """Return whether it was heard lately and takes samples."""
+        """Return whether it answered recently and accepts samples."""
         return (
             self.status is not None
             and self.status.ready
-            and now - self.last_answer_at <= STATUS_AGE_S
+            and now - self.last_answer_at <= MAX_STATUS_AGE_S
         )
 
     def free_slots(self, now: float) -> int:
@@ -48,7 +48,7 @@
 
 
 def median_gap_ms(views: Sequence[RunnerView]) -> float:
-    """Return the usual gap between events over all sidecars, 0 if none tells one."""
+    """Return the median gap between events over all sidecars, 0 if none reports one."""
     gaps = [view.status.gap_ms for view in views if view.status and view.status.gap_ms]
     return median(gaps) if gaps else 0.0
 
@@ -61,47 +61,48 @@
     avoid: str,
     now: float,
 ) -> RunnerView | None:
-    """Return the sidecar for one sample, none if none has room.
+    """Return the sidecar for one sample, none if none has a free slot.
 
-    The fastest engines come first, so that the longest samples, which are placed first, get them;
-    of equally fast ones the one with the most room, then a near one.
+    The fastest engines come first, because the longest samples are placed first and need them.
+    Among equally fast engines the one with the largest share of free slots is chosen, then one in
+    the same data centre.
 
-    :param avoid: sidecar that is taken only if there is no other
+    :param avoid: sidecar that is chosen only if there is no other
     """
-    able = [view for view in views if _is_able(view, model, min_version, now)]
-    if not able:
+    eligible = [view for view in views if _is_eligible(view, model, min_version, now)]
+    if not eligible:
         return None
-    fastest = min((view.status.gap_ms for view in views if _tells_gap(view)), default=0.0)
+    fastest = min((view.status.gap_ms for view in views if _reports_gap(view)), default=0.0)
 
     def rank(view: RunnerView) -> tuple[bool, int, float, bool]:
         share = view.free_slots(now) / max(1, view.status.slots)
         near = view.member.data_centre == data_centre
         return (view.member.name == avoid, _speed_class(view, fastest), -share, not near)
 
-    return min(able, key=rank)
+    return min(eligible, key=rank)
 
 
-def _is_able(view: RunnerView, model: str, min_version: int, now: float) -> bool:
-    """Return whether a sidecar could start a sample now with weights that are fresh enough."""
+def _is_eligible(view: RunnerView, model: str, min_version: int, now: float) -> bool:
+    """Return whether a sidecar could start a sample now with recent enough weights."""
     return view.free_slots(now) > 0 and has_fresh_weights(view, model, min_version)
 
 
 def has_fresh_weights(view: RunnerView, model: str, min_version: int) -> bool:
-    """Return whether an engine holds weights that are fresh enough and do not change just now."""
+    """Return whether an engine holds recent enough weights and is not loading that model now."""
     if view.status is None or is_changing(view.status.loading, model):
         return False
     return view.status.versions.get(model, 0) >= min_version
 
 
-def _tells_gap(view: RunnerView) -> bool:
+def _reports_gap(view: RunnerView) -> bool:
     return view.status is not None and view.status.gap_ms > 0
 
 
 def _speed_class(view: RunnerView, fastest: float) -> int:
-    """Return 0 for an engine about as fast as the fastest, more the slower it is."""
-    if not _tells_gap(view) or not fastest:
+    """Return 0 for an engine about as fast as the fastest, a larger number for slower ones."""
+    if not _reports_gap(view) or not fastest:
         return 0
     return int(log(view.status.gap_ms / fastest, SPEED_STEP))
 
 
-__all__ = ["RunnerView", "has_fresh_weights", "choose_runner", "median_gap_ms"]
+__all__ = ["RunnerView", "choose_runner", "has_fresh_weights", "median_gap_ms"]
--- a/src/threadramp/policy/scaling.py
+++ b/src/threadramp/policy/scaling.py
@@ -1,11 +1,11 @@
-"""How many endpoints a pool is to have in each data centre.
+"""Decides how many endpoints a pool has in each data centre.
 
-The load that this answers: demand that swings over a day, jumps, and an endpoint that serves only
-some time after it was ordered while each is paid for by the second. What is ordered is what the
-demand is expected to be once a new endpoint serves, with room for its noise; fewer only after the
-demand has been lower for a while, so that no wave is followed down and up again.
+Demand varies over the day and jumps. An endpoint serves only some time after it was ordered, and is
+billed by the second. The number ordered therefore meets the demand that is expected when a new
+endpoint serves, with a margin for noise. It is reduced only after demand has been lower for a
+while, so that short dips do not cause endpoints to be removed and ordered again.
 
-Grounds (``tests/policy/test_scaling.py``, a day's wave, a jump and an outage in virtual time).
+Evidence: ``tests/policy/test_scaling.py`` (a daily wave, a jump and an outage in simulated time).
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
     from threadramp.fleet.model import Autoscale
 
-BUSY_SHARE = 0.7  # of the places that the demand may take; the rest is for its noise
-BUSY_MOST = 0.85  # of the places, before more are ordered; between the two nothing changes
-TREND_S = 30.0  # over which the trend is measured; shorter ones follow the noise
-LOWER_AFTER_S = 60.0  # for so long the demand must have been lower before fewer are ordered
-LEND_SHARE = 0.5  # of what other data centres have free that a full one may count on
-MARGIN_S = 5.0  # beyond the time to boot: looks, the call, and its repetition
+TARGET_UTILISATION = 0.7  # of the slots; the rest absorbs noise in the demand
+MAX_UTILISATION = 0.85  # above it more endpoints are ordered; between the two nothing changes
+TREND_S = 30.0  # window of the trend; a shorter one follows the noise
+SCALE_DOWN_AFTER_S = 60.0  # demand must have been lower for this long
+SPILL_SHARE = 0.5  # of the spare capacity of other data centres that a full one may use
+MARGIN_S = 5.0  # added to the boot time: for polling, the call and one retry of it
 
 
 @dataclass(frozen=True)
 class Demand:
-    """What a pool has in a data centre now.
+    """The current demand and capacity of a pool in one data centre.
 
-    :param busy: places that are taken, and requests that wait for one
-    :param endpoints: that serve or were ordered
-    :param slots: places of one endpoint
+    :param busy: number of slots in use plus number of waiting requests
+    :param endpoints: number of endpoints that serve or were ordered
+    :param slots: slots of one endpoint
     """
 
     busy: float
@@ -43,71 +43,71 @@
 
 
 class Scaling:
-    """Decides for one pool; its state is what it saw, and may be lost.
+    """Decides for one pool; its state is the recent demand alone, and may be lost.
 
-    :param bounds: in each data centre
+    :param bounds: minimum, maximum and boot time in each data centre
     """
 
     def __init__(self, bounds: Autoscale) -> None:
         self.bounds = bounds
-        self.seen: dict[str, deque[tuple[float, float]]] = {}
-        self.wanted: dict[str, deque[tuple[float, int]]] = {}
+        self.history: dict[str, deque[tuple[float, float]]] = {}
+        self.recent_targets: dict[str, deque[tuple[float, int]]] = {}
 
     def decide(self, demands: Mapping[str, Demand], now: float) -> dict[str, int]:
-        """Return how many endpoints each data centre is to have.
+        """Return the target number of endpoints by data centre.
 
-        :param demands: by data centre; one of which nothing is known is left as it is
+        :param demands: by data centre; one without an entry is left unchanged
         """
         needed = {name: self._needed(name, demand, now) for name, demand in demands.items()}
         return {
-            name: self._settled(name, count, demands[name].endpoints, now)
-            for name, count in self._lent(needed, demands).items()
+            name: self._without_flapping(name, count, demands[name].endpoints, now)
+            for name, count in self._with_spill(needed, demands).items()
         }
 
     def _needed(self, name: str, demand: Demand, now: float) -> int:
-        """Return the endpoints for the demand at the time at which one ordered now serves."""
-        seen = self.seen.setdefault(name, deque())
-        seen.append((now, demand.busy))
-        while seen[0][0] < now - TREND_S:
-            seen.popleft()
-        ahead = self.bounds.boot_s + MARGIN_S
-        expected = max(demand.busy, demand.busy + _slope(seen) * ahead)
+        """Return the endpoints needed for the demand when an endpoint ordered now serves."""
+        history = self.history.setdefault(name, deque())
+        history.append((now, demand.busy))
+        while history[0][0] < now - TREND_S:
+            history.popleft()
+        horizon_s = self.bounds.boot_s + MARGIN_S
+        expected = max(demand.busy, demand.busy + _slope(history) * horizon_s)
         slots = max(1, demand.slots)
-        count = ceil(expected / (BUSY_SHARE * slots))
-        is_enough = expected <= BUSY_MOST * slots * demand.endpoints
+        count = ceil(expected / (TARGET_UTILISATION * slots))
+        is_enough = expected <= MAX_UTILISATION * slots * demand.endpoints
         return min(count, demand.endpoints) if is_enough else count
 
-    def _lent(self, needed: dict[str, int], demands: Mapping[str, Demand]) -> dict[str, int]:
-        """Return what is ordered, where one that has its most is served by others as well."""
+    def _with_spill(self, needed: dict[str, int], demands: Mapping[str, Demand]) -> dict[str, int]:
+        """Return the targets within the bounds; others take over what exceeds a maximum."""
         most, least = self.bounds.most, self.bounds.least
-        short = sum(max(0, count - most) for count in needed.values())
+        excess = sum(max(0, count - most) for count in needed.values())
         bounded = {name: min(most, max(least, count)) for name, count in needed.items()}
         for name in sorted(bounded, key=lambda one: bounded[one] - demands[one].endpoints):
-            more = min(short, int((most - bounded[name]) * LEND_SHARE + 0.5))
+            more = min(excess, int((most - bounded[name]) * SPILL_SHARE + 0.5))
             bounded[name] += more
-            short -= more
+            excess -= more
         return bounded
 
-    def _settled(self, name: str, count: int, has: int, now: float) -> int:
-        """Return more at once, fewer only what was enough for a while."""
-        wanted = self.wanted.setdefault(name, deque())
-        wanted.append((now, count))
-        while wanted[0][0] < now - LOWER_AFTER_S:
-            wanted.popleft()
-        if count >= has:
+    def _without_flapping(self, name: str, count: int, present: int, now: float) -> int:
+        """Return a larger number at once, a smaller one only after it was enough for a while."""
+        recent_targets = self.recent_targets.setdefault(name, deque())
+        recent_targets.append((now, count))
+        while recent_targets[0][0] < now - SCALE_DOWN_AFTER_S:
+            recent_targets.popleft()
+        if count >= present:
             return count
-        is_long = now - wanted[0][0] >= LOWER_AFTER_S * 0.9
-        return min(has, max(one for _, one in wanted)) if is_long else has
+        is_long = now - recent_targets[0][0] >= SCALE_DOWN_AFTER_S * 0.9
+        return min(present, max(one for _, one in recent_targets)) if is_long else present
 
 
-def _slope(seen: deque[tuple[float, float]]) -> float:
-    """Return by how much a demand rises in a second, by the least squares of what was seen."""
-    if len(seen) < 3 or seen[-1][0] - seen[0][0] < TREND_S / 3:
+def _slope(history: deque[tuple[float, float]]) -> float:
+    """Return the increase of the demand per second, by linear least squares."""
+    if len(history) < 3 or history[-1][0] - history[0][0] < TREND_S / 3:
         return 0.0
-    mean_at = sum(at for at, _ in seen) / len(seen)
-    mean = sum(value for _, value in seen) / len(seen)
-    spread = sum((at - mean_at) ** 2 for at, _ in seen)
-    return sum((at - mean_at) * (value - mean) for at, value in seen) / spread
+    mean_at = sum(at for at, _ in history) / len(history)
+    mean = sum(value for _, value in history) / len(history)
+    spread = sum((at - mean_at) ** 2 for at, _ in history)
+    return sum((at - mean_at) * (value - mean) for at, value in history) / spread
 
 
 __all__ = ["Demand", "Scaling"]
--- a/src/threadramp/policy/subset.py
+++ b/src/threadramp/policy/subset.py
@@ -1,4 +1,4 @@
-"""Which endpoints a gateway beats to, and which ones a trainer's steps use."""
+"""Selects the endpoints that a gateway sends heartbeats to, and those of a trainer's steps."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-SMALL_POOL = 32  # up to here everybody talks to everybody
-SHARD_MARGIN = 1.5  # a trainer's shard is this much larger than an even share
+SMALL_POOL = 32  # up to this size every gateway talks to every endpoint
+SHARD_MARGIN = 1.5  # size of a trainer's shard, relative to an equal share
 
 
 def gateway_subset(names: Sequence[str], index: int, count: int, coverage: int) -> list[str]:
-    """Return the endpoints of one pool that gateway ``index`` of ``count`` beats to.
+    """Return the endpoints of one pool that gateway ``index`` of ``count`` sends heartbeats to.
 
-    In each of ``coverage`` rounds the endpoints are shuffled by the round's number and cut into
-    ``count`` even parts, so each endpoint hears from about ``coverage`` gateways and each gateway
-    has the same number of endpoints.
+    In each of ``coverage`` rounds the endpoints are shuffled, seeded with the round's number, and
+    divided into ``count`` equal parts. Each endpoint so receives heartbeats from about ``coverage``
+    gateways, and each gateway has the same number of endpoints.
     """
     ordered = sorted(names)
     if len(ordered) <= SMALL_POOL or count <= coverage:
--- a/src/threadramp/policy/tail.py
+++ b/src/threadramp/policy/tail.py
@@ -1,4 +1,4 @@
-"""What to do about the last samples of a step."""
+"""Decides when slow samples at the end of a step get a second attempt."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from threadramp.core.progress import SampleProgress
     from threadramp.policy.placement import EndpointCapacity
 
-MIN_AGE_S = 0.5  # a younger sample has no rate worth comparing
-SLOW_SHARE = 0.5  # of the usual rate; below it an endpoint counts as slow
+MIN_AGE_S = 0.5  # the rate of a younger sample is not meaningful
+SLOW_SHARE = 0.5  # of the usual token rate; an endpoint below it counts as slow
 
 TAILS: Registry[type[TailPolicy]] = Registry()
 
@@ -23,7 +23,7 @@
     """Base of the tail policies."""
 
     def second_attempts(
-        self, samples: dict[str, SampleProgress], rooms: Sequence[EndpointCapacity], now: float
+        self, samples: dict[str, SampleProgress], endpoints: Sequence[EndpointCapacity], now: float
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         raise NotImplementedError
@@ -31,10 +31,10 @@
 
 @TAILS.register("wait")
 class Wait(TailPolicy):
-    """Wait for every sample's first attempt."""
+    """Waits for the first attempt of every sample."""
 
     def second_attempts(
-        self, samples: dict[str, SampleProgress], rooms: Sequence[EndpointCapacity], now: float
+        self, samples: dict[str, SampleProgress], endpoints: Sequence[EndpointCapacity], now: float
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         return []
@@ -42,16 +42,16 @@
 
 @TAILS.register("slow_rate")
 class SecondAttemptOfSlow(TailPolicy):
-    """A second attempt for samples whose endpoint produces far fewer tokens a second than usual.
+    """Repeats samples whose endpoint produces far fewer tokens per second than usual.
 
-    A sample that is merely long runs at the usual rate and gets none.
+    A sample that is merely long runs at the usual rate and gets no second attempt.
     """
 
     def __init__(self) -> None:
-        self.usual = 0.0
+        self.usual_rate = 0.0
 
     def second_attempts(
-        self, samples: dict[str, SampleProgress], rooms: Sequence[EndpointCapacity], now: float
+        self, samples: dict[str, SampleProgress], endpoints: Sequence[EndpointCapacity], now: float
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         rates = {
@@ -61,12 +61,12 @@
         }
         if not rates:
             return []
-        self.usual = max(self.usual, median(rates.values()))
-        free = sum(room.free for room in rooms)
+        self.usual_rate = max(self.usual_rate, median(rates.values()))
+        free = sum(endpoint.free for endpoint in endpoints)
         waiting = any(_waits(sample) for sample in samples.values())
         if waiting or free <= 0:
             return []
-        slow = [name for name, rate in rates.items() if rate < SLOW_SHARE * self.usual]
+        slow = [name for name, rate in rates.items() if rate < SLOW_SHARE * self.usual_rate]
         return [samples[name] for name in sorted(slow, key=rates.__getitem__)[:free]]
 
 
--- a/src/threadramp/policy/true_time.py
+++ b/src/threadramp/policy/true_time.py
@@ -1,9 +1,10 @@
-"""The true time of day, told from the clocks of several boxes.
+"""Estimates the true time of day from the clocks of several boxes.
 
-One box's time of day may jump by seconds for a while. So it is taken as an offset from the steady
-clock, as the middle of what several boxes say: as long as less than half of them are wrong, none of
-them moves it. Where two are in the middle, the one counts that is nearer to our own: else a box
-whose clock is off is believed by the first that it asks, which passes it on, and has two voices.
+The time of day of one box may be wrong by seconds for a while. The true time is therefore kept as
+an offset from the monotonic clock, and the offset is the median of what several boxes report: as
+long as fewer than half of them are wrong, they do not change it. Of two medians the one closer to
+the own clock is used. Otherwise the first box asked by a box with a wrong clock would adopt that
+time and report it too, so that it would count twice.
 """
 
 from __future__ import annotations
@@ -13,65 +14,63 @@
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
 
-# Clocks jump by seconds; messages between busy boxes came up to 0.3 s late, and requests counted by
-# a time that moved by as much within a window of 2 s were 12% off.
+# Clocks jump by seconds. Messages between busy boxes arrived up to 0.3 s late, and when the true
+# time moved by that much, counts of requests in windows of 2 s were wrong by 12%.
 MAX_DEVIATION_S = 0.5
-RELIABLE_READINGS = (
-    2  # others that said what the time is; of two clocks that differ either may be off
-)
-RELIABLE_AFTER_S = 3.0  # after the start; each gateway is asked once a second by several others
-READING_TTL_S = 10.0  # what a box said longer ago does not count; others are asked each second
+RELIABLE_READINGS = 2  # from other boxes; if two clocks differ, either may be wrong
+RELIABLE_AFTER_S = 3.0  # after the start; several others ask each gateway once a second
+READING_TTL_S = 10.0  # older readings are ignored; other boxes are asked every second
 
 
 class TrueTime:
-    """The true time of day as one process knows it.
+    """The true time of day as estimated by one process.
 
-    Its own clock counts as it stood at the start: a jump later is none of the true time.
+    Its own clock is read once, at the start, so that a later jump does not affect the estimate.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.started = clock.now()
         self.own = clock.time_of_day() - clock.now()
-        self.heard: dict[str, tuple[float, float]] = {}
+        self.readings: dict[str, tuple[float, float]] = {}
 
     def now(self) -> float:
         """Return the true time of day, in seconds since the epoch."""
         return self.at(self.clock.now())
 
     def at(self, steady: float) -> float:
-        """Return the true time of day at a time of the steady clock."""
+        """Return the true time of day at a time of the monotonic clock."""
         return steady + self.offset()
 
     def add_reading(self, box: str, time_of_day: float, steady: float) -> None:
-        """Note what a box said the time was.
+        """Record the time of day that another box reported.
 
-        :param steady: time of our steady clock at that moment
+        :param steady: time of the own monotonic clock at that moment
         """
-        self.heard[box] = (time_of_day - steady, steady)
+        self.readings[box] = (time_of_day - steady, steady)
 
     def offset(self) -> float:
-        """Return the true time of day less the steady clock.
+        """Return the true time of day minus the monotonic clock.
 
-        Our own counts where it agrees with the middle: what others say comes late by the time that
-        it was on its way, which varies with how busy the boxes are.
+        The own clock is used if it agrees with the median, because readings from others are late by
+        their transmission time, which varies with the load of the boxes.
         """
-        middle = self._middle(sorted([self.own, *self._lately()]))
-        return self.own if abs(self.own - middle) < MAX_DEVIATION_S else middle
+        median = self._median(sorted([self.own, *self._recent()]))
+        return self.own if abs(self.own - median) < MAX_DEVIATION_S else median
 
     def is_reliable(self) -> bool:
-        """Return whether enough others were heard to tell which clock is off, or none will be."""
+        """Return whether enough readings arrived to detect a wrong clock, or none are expected."""
         is_old = self.clock.now() - self.started >= RELIABLE_AFTER_S
-        return is_old or len(self._lately()) >= RELIABLE_READINGS
+        return is_old or len(self._recent()) >= RELIABLE_READINGS
 
-    def _middle(self, offsets: list[float]) -> float:
+    def _median(self, offsets: list[float]) -> float:
         count = len(offsets)
-        middles = offsets[(count - 1) // 2 : count // 2 + 1]
-        return min(middles, key=lambda one: abs(one - self.own))
+        medians = offsets[(count - 1) // 2 : count // 2 + 1]
+        return min(medians, key=lambda one: abs(one - self.own))
 
-    def _lately(self) -> list[float]:
+    def _recent(self) -> list[float]:
         since = self.clock.now() - READING_TTL_S
-        return [offset for offset, at in list(self.heard.values()) if at >= since]
+        return [offset for offset, at in list(self.readings.values()) if at >= since]
 
 
-__all__ = ["MAX_DEVIATION_S", "READING_TTL_S", "RELIABLE_READINGS", "RELIABLE_AFTER_S", "TrueTime"]
+__all__ = ["MAX_DEVIATION_S", "READING_TTL_S", "RELIABLE_AFTER_S", "RELIABLE_READINGS", "TrueTime"]
--- a/src/threadramp/policy/urgent_loads.py
+++ b/src/threadramp/policy/urgent_loads.py
@@ -1,9 +1,9 @@
-"""Which engines are asked to load a model at once, since no engine can run what waits.
+"""Selects engines that load a model out of turn because no engine can run the waiting samples.
 
-The load that this answers: a trainer that is behind names two versions within a second and hands
-in the lot of the second one with the first; that lot takes the version before and newer, which no
-engine holds yet. By the turns for loads the first engines had it after 1 to 2 s, but after 4 s and
-more where other models had waited for longer. The gateway that has the lot sees both.
+A trainer that is behind may publish two versions within a second and submit the lot of the second
+one with the first. That lot needs the version before it or a newer one, which no engine holds yet.
+With loads in turns, the first engines had it after 1 to 2 s, but after 4 s and more if other models
+had waited longer. The gateway that runs the lot sees both the lot and the versions.
 """
 
 from __future__ import annotations
@@ -22,17 +22,18 @@
 def engines_for_urgent_load(
     views: Sequence[RunnerView], model: str, min_version: int, now: float
 ) -> list[RunnerView]:
-    """Return the engines that are to load a model at once, none if one holds it or some load it.
+    """Return the engines that load a model out of turn; none if an engine can run the samples.
 
-    No more than may load at once; fast ones first, of these the emptier ones, which can take more.
+    Never more than may load at the same time, less those that load the model already. Faster
+    engines come first, and among equally fast ones those with fewer samples, which can accept more.
     """
     ready = [view for view in views if view.is_ready(now)]
     if not ready or any(view.status.versions.get(model, 0) >= min_version for view in ready):
         return []
     loading = sum(view.status.loading == model for view in ready)
     idle = [view for view in ready if not view.status.loading and view.status.versions.get(model)]
-    usual = median_gap_ms(ready)
-    idle.sort(key=lambda view: (view.status.gap_ms or usual, view.assigned))
+    usual_gap_ms = median_gap_ms(ready)
+    idle.sort(key=lambda view: (view.status.gap_ms or usual_gap_ms, view.assigned))
     return idle[: max(0, max_concurrent_loads(len(ready)) - loading)]
 
 
--- a/src/threadramp/policy/usage_schedule.py
+++ b/src/threadramp/policy/usage_schedule.py
@@ -1,16 +1,16 @@
-"""When the usage of a window is settled, and from which window on a holder reports."""
+"""Decides when the usage of a window is final, and which window a holder reports first."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Requests are counted when they are sent, and taken back within milliseconds where they were
-# rejected; each gateway is asked once a second.
+# Requests are counted when they are sent, and uncounted within milliseconds if they are rejected.
+# Each gateway is asked once a second.
 SETTLE_S = 0.3
-# Of the time until it is due, for which gateways that do not answer are waited for; the rest is
-# for the write that fixes it, the call, and a second try of either.
+# Share of the time until a report is due in which it waits for gateways that do not answer. The
+# rest is for the write that stores it, the call, and one retry of either.
 WAIT_SHARE = 0.65
-RETRY_FOR_S = 30.0  # beyond that a report is of no use to anybody
+RETRY_FOR_S = 30.0  # after the due time; a later report is of no use
 
 
 @dataclass(frozen=True)
@@ -18,7 +18,7 @@
     """The times of a window.
 
     :param window_s: length of a window
-    :param late_s: after its end, until a report is due
+    :param late_s: seconds from the end of a window until its report is due
     """
 
     window_s: float
@@ -29,33 +29,33 @@
         return (window + 1) * self.window_s
 
     def final_at(self, window: int) -> float:
-        """Return the true time from which on what a gateway tells of a window is all of it."""
+        """Return the true time from which a gateway's counts of a window are complete."""
         return self.end(window) + SETTLE_S
 
-    def is_ready(self, window: int, now: float, all_told: bool) -> bool:
-        """Return whether a window is to be reported now.
+    def is_ready(self, window: int, now: float, all_answered: bool) -> bool:
+        """Return whether a window is reported now.
 
-        :param all_told: whether all gateways answered after it was settled
+        :param all_answered: whether all gateways answered after its counts were final
         """
         if now < self.final_at(window):
             return False
-        return all_told or now >= self.end(window) + WAIT_SHARE * self.late_s
+        return all_answered or now >= self.end(window) + WAIT_SHARE * self.late_s
 
     def is_abandoned(self, window: int, now: float) -> bool:
-        """Return whether a window is given up."""
+        """Return whether a window is no longer reported."""
         return now > self.end(window) + self.late_s + RETRY_FOR_S
 
-    def first_window(self, fixed: list[int], began: float, now: float) -> int:
+    def first_window(self, stored: list[int], started_at: float, now: float) -> int:
         """Return the window that a new holder reports first.
 
-        :param fixed: windows that holders before fixed
-        :param began: true time at which this process began
+        :param stored: windows whose reports earlier holders stored
+        :param started_at: true time at which this process started
         """
-        if fixed:
-            return max(max(fixed) + 1, self._at(now - self.late_s - RETRY_FOR_S))
-        return self._at(began)
+        if stored:
+            return max(max(stored) + 1, self._window_at(now - self.late_s - RETRY_FOR_S))
+        return self._window_at(started_at)
 
-    def _at(self, true_time: float) -> int:
+    def _window_at(self, true_time: float) -> int:
         return int(true_time // self.window_s)
 
 
--- a/src/threadramp/policy/usage_windows.py
+++ b/src/threadramp/policy/usage_windows.py
@@ -1,6 +1,7 @@
-"""How many requests endpoints began for each organisation in each window of time.
+"""Counts the requests that endpoints began, by organisation and time window.
 
-Totals are told, never differences: whoever asks twice, or not at all for a while, loses nothing.
+Reports contain totals, never differences, so that a collector that asks twice, or not at all for a
+while, loses nothing.
 """
 
 from __future__ import annotations
@@ -9,16 +10,15 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-RETAINED_WINDOWS = (
-    12  # a minute of the users' windows: a new holder asks for what is not reported yet
-)
+# A minute of the users' windows: a new holder of the duties asks for those not reported yet.
+RETAINED_WINDOWS = 12
 
 
 @dataclass
 class _Window:
     """Counts of one window.
 
-    :param changed: number of the change that altered it last
+    :param changed: number of the last change that affected the window
     """
 
     counts: Counter[str] = field(default_factory=Counter)
@@ -26,7 +26,7 @@
 
 
 class UsageWindows:
-    """The counts of one process; its methods may be called from any thread.
+    """The counts of one process; thread-safe.
 
     :param window_s: length of a window
     """
@@ -38,7 +38,7 @@
         self.lock = threading.Lock()
 
     def window_at(self, true_time: float) -> int:
-        """Return the number of the window that a time lies in."""
+        """Return the number of the window that contains a time."""
         return int(true_time // self.window_s)
 
     def record_start(self, organisation: str, true_time: float) -> None:
@@ -46,25 +46,27 @@
         self.add(organisation, true_time, 1)
 
     def undo_start(self, organisation: str, true_time: float) -> None:
-        """Take back a request that was counted, since the endpoint says it did not run."""
+        """Uncount a request, because the endpoint reports that it did not run it."""
         self.add(organisation, true_time, -1)
 
     def add(self, organisation: str, true_time: float, count: int) -> None:
-        """Count requests, or take some back where the count is negative."""
+        """Count requests, or uncount some if the count is negative."""
         window = self.window_at(true_time)
         with self.lock:
             self._change(organisation, window, count)
-            for old in [number for number in self.windows if number < window - RETAINED_WINDOWS]:
-                del self.windows[old]
+            for expired in [
+                number for number in self.windows if number < window - RETAINED_WINDOWS
+            ]:
+                del self.windows[expired]
 
     def move(self, organisation: str, wrong: float, right: float, count: int) -> None:
-        """Count what was counted at one time at another one instead."""
+        """Move counts from one time to another."""
         with self.lock:
             self._change(organisation, self.window_at(wrong), -count)
             self._change(organisation, self.window_at(right), count)
 
     def changed_since(self, seen: int) -> tuple[int, dict[int, dict[str, int]]]:
-        """Return the number of the last change, and the windows that changed after another one."""
+        """Return the number of the last change, and the windows changed after change ``seen``."""
         with self.lock:
             rows = {
                 window: {name: count for name, count in one.counts.items() if count}
@@ -81,11 +83,11 @@
 
 
 @dataclass
-class _Told:
-    """What one process told last.
+class _ProcessReport:
+    """The last report of one process.
 
-    :param seen: number of its last change that is known
-    :param at: true time of its last answer
+    :param seen: number of the last change that it contains
+    :param at: true time of the last answer
     """
 
     seen: int = 0
@@ -94,18 +96,18 @@
 
 
 class UsageTotals:
-    """What all processes told a collector; those that are gone count with what they told last.
+    """The reports of all processes at a collector; the last report of a lost process still counts.
 
     :param window_s: length of a window
     """
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
-        self.processes: dict[tuple[str, str], _Told] = {}
+        self.processes: dict[tuple[str, str], _ProcessReport] = {}
 
     def seen(self, box: str, incarnation: str) -> int:
-        """Return the number of the last change of a process that is known here."""
-        return self.processes.get((box, incarnation), _Told()).seen
+        """Return the number of the last change that a process reported."""
+        return self.processes.get((box, incarnation), _ProcessReport()).seen
 
     def merge(
         self,
@@ -115,31 +117,33 @@
         windows: dict[int, dict[str, int]],
         true_time: float,
     ) -> None:
-        """Note what a process told: the windows that changed, each as a whole."""
-        told = self.processes.setdefault((box, incarnation), _Told())
-        told.at = max(told.at, true_time)
-        if seen < told.seen:
-            return  # an answer that was held up
-        told.seen = seen
-        told.windows |= windows
+        """Merge the report of a process: the windows that changed, each with all its counts."""
+        report = self.processes.setdefault((box, incarnation), _ProcessReport())
+        report.at = max(report.at, true_time)
+        if seen < report.seen:
+            return  # a delayed answer
+        report.seen = seen
+        report.windows |= windows
 
     def total(self, window: int) -> dict[str, int]:
-        """Return the counts of a window over all processes."""
+        """Return the counts of a window, summed over all processes."""
         total: Counter[str] = Counter()
-        for told in self.processes.values():
-            total.update(told.windows.get(window, {}))
+        for report in self.processes.values():
+            total.update(report.windows.get(window, {}))
         return {name: count for name, count in sorted(total.items()) if count > 0}
 
     def has_answered_after(self, box: str, true_time: float) -> bool:
         """Return whether a box answered after a time."""
-        return any(told.at > true_time for (name, _), told in self.processes.items() if name == box)
+        return any(
+            report.at > true_time for (name, _), report in self.processes.items() if name == box
+        )
 
     def drop_before(self, window: int) -> None:
-        """Drop what is older than a window, and processes of which nothing is left."""
-        for key, told in list(self.processes.items()):
-            told.windows = {one: row for one, row in told.windows.items() if one >= window}
-            if not told.windows and told.at < window * self.window_s:
+        """Drop older windows, and processes without remaining windows."""
+        for key, report in list(self.processes.items()):
+            report.windows = {one: row for one, row in report.windows.items() if one >= window}
+            if not report.windows and report.at < window * self.window_s:
                 del self.processes[key]
 
 
-__all__ = ["RETAINED_WINDOWS", "UsageWindows", "UsageTotals"]
+__all__ = ["RETAINED_WINDOWS", "UsageTotals", "UsageWindows"]
--- a/src/threadramp/policy/watcher_assignment.py
+++ b/src/threadramp/policy/watcher_assignment.py
@@ -1,9 +1,9 @@
-"""Which gateways watch the store: one a data centre, however many gateways there are.
+"""Selects the gateways that watch the store: one per data centre, however many gateways there are.
 
-Each answer to a watch is a priced call. What a second watcher in a data centre was for, that one is
-lost or cut, the watcher of another data centre does as well: it watches anyway, and is asked only
-whether it has a way. Two in each of six data centres made 660 answers of a calm day's 1,220 priced
-calls (small twin of the largest sheet).
+Each answer to a watch is a billed call. If the watcher of a data centre is lost or cut off, that of
+another data centre takes its place: it watches anyway, and is asked only whether it can reach the
+store. With two watchers in each of six data centres, their answers were 660 of the 1,220 billed
+calls of a calm day (scaled-down model of the largest workload).
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
     from threadramp.fleet.picture import Member
 
-WATCHERS = 2  # that a gateway may follow: its own data centre's, and one to stand in for it
+WATCHERS = 2  # that a gateway may follow: that of its own data centre and a fallback
 
 
 def watchers_in(data_centre: str, gateways: Iterable[Member]) -> list[Member]:
     """Return the gateways of a data centre that watch the store for all gateways there.
 
-    One, where other data centres have watchers to stand in for it, else two.
+    One if other data centres have a fallback for it, else two.
     """
     rows = _by_data_centre(gateways)
     local = {one.name: one for one in rows.get(data_centre, ())}
@@ -32,10 +32,10 @@
 
 
 def watchers_to_follow(data_centre: str, gateways: Iterable[Member]) -> list[Member]:
-    """Return the gateways that others of a data centre may follow, its own watcher first.
+    """Return the watchers that gateways of a data centre may follow, its own one first.
 
-    The one that stands in is the watcher of another data centre; each data centre has its own such
-    one, so that no watcher stands in for many.
+    The fallback is the watcher of another data centre, chosen by the name of the first one, so that
+    no watcher is the fallback of many data centres.
     """
     listed = list(gateways)
     own = watchers_in(data_centre, listed)
@@ -52,4 +52,4 @@
     return rows
 
 
-__all__ = ["WATCHERS", "watchers_to_follow", "watchers_in"]
+__all__ = ["WATCHERS", "watchers_in", "watchers_to_follow"]
--- a/tests/policy/test_callers.py
+++ b/tests/policy/test_callers.py
@@ -1,4 +1,4 @@
-"""Who calls, by what the configuration tells."""
+"""Identification of callers by the configuration."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
         (Organisations(), b"k", False, Denial.UNKNOWN_KEY),
     ],
 )
-def test_who_calls(organisations, key, public, found):
+def test_a_caller_is_identified_by_its_key(organisations, key, public, found):
     assert identify_caller(organisations, key, public) == found
 
 
-def test_the_priority_of_an_organisation_goes_before_that_of_the_route():
+def test_the_priority_of_an_organisation_overrides_that_of_the_route():
     assert Caller("acme", 1).with_priority(ROUTE).priority == 1
     assert Caller("acme", 0).with_priority(ROUTE).priority == 0
     assert Caller("acme").with_priority(ROUTE) is ROUTE
--- a/tests/policy/test_engine_host.py
+++ b/tests/policy/test_engine_host.py
@@ -1,4 +1,4 @@
-"""Who stands in for an engine's sidecar."""
+"""Which gateway replaces an engine's sidecar."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @given(numbers=NAMES, engine=st.sampled_from(ENGINES))
-def test_all_choose_the_same_whatever_the_order(numbers, engine):
+def test_all_gateways_choose_the_same_in_any_order(numbers, engine):
     fleet = gateways(numbers)
     chosen = gateway_for_engine(engine, "dc1", fleet)
     assert chosen == gateway_for_engine(engine, "dc1", reversed(fleet))
@@ -28,7 +28,7 @@
 
 
 @given(numbers=NAMES, gone=st.integers(0, 60), engine=st.sampled_from(ENGINES))
-def test_one_that_goes_moves_only_its_own_engines(numbers, gone, engine):
+def test_losing_a_gateway_moves_only_its_own_engines(numbers, gone, engine):
     fleet = gateways(numbers)
     before = gateway_for_engine(engine, "dc1", fleet)
     left = [one for one in fleet if one.name != f"g{gone}"]
@@ -38,12 +38,12 @@
     assert after == gateway_for_engine(engine, "dc1", fleet, unresponsive={f"g{gone}"})
 
 
-def test_engines_are_spread():
+def test_engines_are_spread_over_the_gateways():
     fleet = gateways(range(0, 30, 3))
     counts = Counter(gateway_for_engine(engine, "dc0", fleet).name for engine in ENGINES)
     assert len(counts) == 10
     assert max(counts.values()) < 100
 
 
-def test_without_a_gateway_there_is_nobody():
+def test_without_gateways_none_is_chosen():
     assert gateway_for_engine(ENGINES[0], "dc0", []) is None
--- a/tests/policy/test_load_schedule.py
+++ b/tests/policy/test_load_schedule.py
@@ -1,4 +1,4 @@
-"""What engines load when several trainers share a pool, and in which turn."""
+"""Which models engines load when several trainers share a pool, and in which turn."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def named(model: str, version: int, held: int, age_s: float = 0.0) -> PublishedVersion:
+def published(model: str, version: int, held: int, age_s: float = 0.0) -> PublishedVersion:
     return PublishedVersion(model, version, held, age_s)
 
 
@@ -24,7 +24,7 @@
     assert all(set(load_schedule(rank, engines, names).shifts) == set(names) for rank in range(2))
 
 
-def test_engines_in_a_row_begin_with_different_models():
+def test_consecutive_engines_begin_with_different_models():
     first = [
         min(share.shifts, key=share.shifts.__getitem__)
         for share in (load_schedule(rank, 8, ["a", "b", "c"]) for rank in range(6))
@@ -32,7 +32,7 @@
     assert first == ["a", "c", "b", "a", "c", "b"]
 
 
-def test_in_a_large_pool_the_engines_are_dealt_out_evenly():
+def test_in_a_large_pool_models_get_equal_blocks_of_engines():
     shares = [load_schedule(rank, 300, ["a", "b", "c"]) for rank in range(300)]
     assert not holds_all_models(300)
     assert [sum(set(one.shifts) == {model} for one in shares) for model in "abc"] == [100] * 3
@@ -52,74 +52,76 @@
 
 @pytest.mark.parametrize("engines", [6, 21, 300, 2_700])
 def test_a_version_is_on_all_engines_within_four_turns(engines):
-    """Two at a time whatever the pool: the last of 21 engines waited ten turns."""
+    """With two loads at a time in any pool, the last of 21 engines waited ten turns."""
     assert {load_schedule(rank, engines, ["m"]).turns for rank in range(engines)} <= {3, 4}
 
 
-def test_a_turn_begins_at_its_time_only():
+def test_a_load_begins_only_early_in_the_turn_of_the_engine():
     assert is_turn(1, 4, 401.1)
     assert not is_turn(1, 4, 401.9)  # the load would last into the next turn
     assert not is_turn(1, 4, 402.1)
-    assert is_turn(0, 1, 402.9)  # an engine with nobody to wait for
+    assert is_turn(0, 1, 402.9)  # an engine alone has no turns to wait for
 
 
-def test_what_was_named_lately_is_loaded_in_turn():
+def test_a_recently_published_version_is_loaded_in_turn():
     share = load_schedule(0, 8, ["a", "b", "c"])
-    lately = named("a", 5, 4)
-    assert next_load([lately], share, 400.1) == lately
-    assert next_load([lately], share, 401.1) is None
-    assert next_load([named("a", 5, 4, age_s=2.0)], share, 400.1) is None
+    recent = published("a", 5, 4)
+    assert next_load([recent], share, 400.1) == recent
+    assert next_load([recent], share, 401.1) is None
+    assert next_load([published("a", 5, 4, age_s=2.0)], share, 400.1) is None
 
 
-def test_what_was_named_lately_goes_before_a_model_of_which_nothing_can_be_run():
+def test_a_recently_published_version_comes_before_an_unusable_model():
     share = load_schedule(0, 8, ["a", "b", "c"])
-    lately = named("b", 5, 4)
-    behind = named("a", 5, 2, age_s=9.0)
-    assert next_load([behind, lately], share, 400.1) == lately
+    recent = published("b", 5, 4)
+    behind = published("a", 5, 2, age_s=9.0)
+    assert next_load([behind, recent], share, 400.1) == recent
     assert next_load([behind], share, 400.1) == behind
 
 
-def test_after_an_outage_every_model_is_on_some_engine_after_one_turn_each():
-    """All engines began with the model furthest behind; the lots of another waited 9.7 s."""
+def test_after_an_outage_every_model_is_loaded_by_some_engine_in_its_first_turn():
+    """When all engines began with the model furthest behind, lots of another waited 9.7 s."""
     begun = set()
     for rank in range(8):
         share = load_schedule(rank, 8, ["a", "b", "c"])
-        row = [named(model, 9, 1, age_s=9.0) for model in "abc"]
+        row = [published(model, 9, 1, age_s=9.0) for model in "abc"]
         begun.add(next_load(row, share, share.turn + 0.1).model)
     assert begun == {"a", "b", "c"}
 
 
-def test_a_hurried_model_does_not_wait_for_the_turn():
+def test_an_urgent_model_does_not_wait_for_the_turn():
     share = load_schedule(0, 8, ["a", "b"])
-    behind = named("b", 5, 3, age_s=9.0)
-    assert next_load([named("a", 5, 4), behind], share, 402.9, urgent_model="b") == behind
+    behind = published("b", 5, 3, age_s=9.0)
+    assert next_load([published("a", 5, 4), behind], share, 402.9, urgent_model="b") == behind
     assert (
-        next_load([named("b", 5, 4)], share, 402.9, urgent_model="b") is None
+        next_load([published("b", 5, 4)], share, 402.9, urgent_model="b") is None
     )  # it can run the lot
 
 
 def loads(start: float, apart: int) -> int:
-    """Return how many of six engines load a version that was named at a time."""
+    """Return how many of six engines load a version that was published at a time."""
     begun = 0
     for rank in range(6):
         share = load_schedule(rank, 6, ["m"])
         ticks = [start + 0.2 * n for n in range(30)]
-        begun += any(next_load([named("m", 7, 6, at - start)], share, at, apart) for at in ticks)
+        begun += any(
+            next_load([published("m", 7, 6, at - start)], share, at, apart) for at in ticks
+        )
     return begun
 
 
 STARTS = [400 + 0.05 + 0.1 * n for n in range(30)]
 
 
-def test_of_one_model_each_engine_loads_each_version():
+def test_with_one_model_each_engine_loads_each_version():
     assert {loads(start, 1) for start in STARTS} == {6}
 
 
-def test_where_the_operator_says_so_half_of_the_engines_load_each_version():
+def test_with_versions_apart_half_of_the_engines_load_each_version():
     counts = [loads(start, 2) for start in STARTS]
     assert 2.4 <= sum(counts) / len(counts) <= 3.6
     assert min(counts) >= 2
 
 
 def test_a_model_that_the_engine_lacks_is_not_loaded():
-    assert next_load([named("a", 5, 0)], load_schedule(0, 1, ["a"]), 0.1) is None
+    assert next_load([published("a", 5, 0)], load_schedule(0, 1, ["a"]), 0.1) is None
--- a/tests/policy/test_locality.py
+++ b/tests/policy/test_locality.py
@@ -22,18 +22,18 @@
     return [item.name for item in members]
 
 
-def test_own_region_goes_first_while_it_has_room() -> None:
+def test_own_region_is_preferred_while_it_has_free_slots() -> None:
     members = [member("a", "north-2"), member("b", "south-1"), member("c", "north-1", 8)]
     assert names(prefer_region(members, "north-1", DATA_CENTRES)) == ["a", "c"]
 
 
-def test_full_or_missing_region_spills_over() -> None:
+def test_a_full_or_missing_region_falls_back_to_all() -> None:
     full = [member("a", "north-1", 8), member("b", "south-1")]
     assert names(prefer_region(full, "north-1", DATA_CENTRES)) == ["a", "b"]
     away = [member("b", "south-1"), member("d", "nowhere")]
     assert names(prefer_region(away, "north-1", DATA_CENTRES)) == ["b", "d"]
 
 
-def test_gateway_of_an_undeclared_data_centre_prefers_none() -> None:
+def test_a_gateway_in_an_undeclared_data_centre_prefers_no_region() -> None:
     members = [member("a", "north-1"), member("b", "south-1")]
     assert prefer_region(members, "elsewhere", DATA_CENTRES) == members
--- a/tests/policy/test_sample_placement.py
+++ b/tests/policy/test_sample_placement.py
@@ -26,25 +26,25 @@
     assert chosen([view("a", gap=48.0), view("b", gap=37.0, taken=8)]) == "b"
 
 
-def test_of_equally_fast_engines_the_emptier_one_and_then_the_near_one():
+def test_among_equally_fast_engines_the_emptier_and_then_the_near_one_is_chosen():
     assert chosen([view("a", taken=5), view("b", gap=38.0, taken=2)]) == "b"
     assert chosen([view("a"), view("b")], near="zone of b") == "b"
 
 
-def test_full_loading_silent_and_stale_engines_get_nothing():
-    silent = view("d")
-    silent.last_answer_at = NOW - 3.0
-    views = [view("a", taken=12), view("b", ready=False), view("c", version=1), silent]
+def test_full_unready_unresponsive_and_stale_engines_get_no_samples():
+    unresponsive = view("d")
+    unresponsive.last_answer_at = NOW - 3.0
+    views = [view("a", taken=12), view("b", ready=False), view("c", version=1), unresponsive]
     assert chosen(views, min_version=2) is None
 
 
-def test_the_engine_that_had_it_last_comes_last():
+def test_the_engine_to_avoid_is_chosen_only_if_there_is_no_other():
     assert chosen([view("a"), view("b", taken=9)], avoid="a") == "b"
     assert chosen([view("a")], avoid="a") == "a"
 
 
 def test_samples_of_other_models_go_to_an_engine_that_loads():
-    """All samples waited while one model of the engine was loaded, for 0.9 s and more."""
+    """All samples used to wait while one model of an engine was loaded, for 0.9 s and more."""
     loading = view("a")
     loading.status = replace(loading.status, loading="other")
     assert chosen([loading]) == "a"
--- a/tests/policy/test_scaling.py
+++ b/tests/policy/test_scaling.py
@@ -1,7 +1,7 @@
-"""Endpoints ordered for a day's wave, a jump and an outage, against two simple ways.
+"""Scaling under a daily wave, a jump and an outage, compared with two simple policies.
 
-Seen from callers: the share of the demand that found a place; seen from who pays: endpoint seconds.
-The simple ways: the most all day, and just what the demand of the moment takes.
+Measured are the share of the demand that was served and the endpoint seconds that are paid for. The
+simple policies order the maximum all day, and exactly what the current demand needs.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 import pytest
 
 from threadramp.fleet.model import Autoscale
-from threadramp.policy.scaling import LOWER_AFTER_S, Demand, Scaling
+from threadramp.policy.scaling import SCALE_DOWN_AFTER_S, Demand, Scaling
 
 BOUNDS = Autoscale(least=2, most=20, boot_s=30.0)
 SLOTS = 8
-LOOK_S = 5.0
-DAY_S = 3600.0  # a day's wave, shortened
-PLACES = ("dc-a", "dc-b")
+TICK_S = 5.0
+DAY_S = 3600.0  # period of the daily wave, shortened
+DATA_CENTRES = ("dc-a", "dc-b")
 
 
 def wave(place: int, at: float) -> float:
@@ -29,8 +29,8 @@
     return 100.0 if 1200.0 <= at < 2400.0 and place == 0 else 20.0
 
 
-class AsTheMoment:
-    """Just what the demand of the moment takes."""
+class CurrentDemand:
+    """Orders exactly what the current demand needs."""
 
     def decide(self, demands, now):
         found = {}
@@ -39,20 +39,20 @@
         return found
 
 
-class AtTheMost:
+class AlwaysMaximum:
     def decide(self, demands, now):
         return dict.fromkeys(demands, BOUNDS.most)
 
 
-def play(way, load, silent=(0.0, 0.0)):
-    """Return the share served, the endpoint seconds, and how often the number changed.
+def simulate(policy, load, outage=(0.0, 0.0)):
+    """Return the share served, the endpoint seconds, and the number of changes.
 
-    :param silent: from when to when no call is taken
+    :param outage: from when to when no orders are accepted
     """
     random = Random(1)
-    serving = dict.fromkeys(PLACES, 4)
+    serving = dict.fromkeys(DATA_CENTRES, 4)
     booting: list[tuple[float, str]] = []
-    asked = served = paid = 0.0
+    demanded = served = paid = 0.0
     changes = 0
     at = 0.0
     while at < DAY_S:
@@ -60,61 +60,61 @@
             serving[name] += 1
             booting.remove((when, name))
         demands = {}
-        for place, name in enumerate(PLACES):
+        for place, name in enumerate(DATA_CENTRES):
             busy = load(place, at) * random.uniform(0.9, 1.1)
-            asked += busy
+            demanded += busy
             served += min(busy, serving[name] * SLOTS)
             ordered = serving[name] + sum(one == name for _, one in booting)
-            paid += ordered * LOOK_S
+            paid += ordered * TICK_S
             demands[name] = Demand(busy, ordered, SLOTS)
-        wanted = way.decide(demands, at)
-        if not silent[0] <= at < silent[1]:
+        wanted = policy.decide(demands, at)
+        if not outage[0] <= at < outage[1]:
             for name, count in wanted.items():
                 changes += count != demands[name].endpoints
                 more = count - demands[name].endpoints
                 booting += [(at + BOUNDS.boot_s, name)] * max(0, more)
                 serving[name] += min(0, more)
-        at += LOOK_S
-    return served / asked, paid, changes
+        at += TICK_S
+    return served / demanded, paid, changes
 
 
 @pytest.mark.parametrize("load", [wave, jump])
-def test_it_serves_nearly_as_the_most_does_for_far_less(load):
-    share, paid, changes = play(Scaling(BOUNDS), load)
-    share_at_most, paid_at_most, _ = play(AtTheMost(), load)
-    share_of_moment, _, changes_of_moment = play(AsTheMoment(), load)
-    assert share >= share_at_most - 0.02
-    assert paid < 0.75 * paid_at_most
-    assert share >= share_of_moment
-    assert changes < changes_of_moment / 3
-
-
-def test_an_interface_that_takes_no_calls_for_a_while_is_made_up_for():
-    share, _, _ = play(Scaling(BOUNDS), wave, silent=(1000.0, 1200.0))
+def test_it_serves_nearly_as_much_as_the_maximum_for_far_less(load):
+    share, paid, changes = simulate(Scaling(BOUNDS), load)
+    share_of_maximum, paid_of_maximum, _ = simulate(AlwaysMaximum(), load)
+    share_of_current, _, changes_of_current = simulate(CurrentDemand(), load)
+    assert share >= share_of_maximum - 0.02
+    assert paid < 0.75 * paid_of_maximum
+    assert share >= share_of_current
+    assert changes < changes_of_current / 3
+
+
+def test_it_recovers_from_an_outage_of_the_order_interface():
+    share, _, _ = simulate(Scaling(BOUNDS), wave, outage=(1000.0, 1200.0))
     assert share > 0.95
 
 
-def test_the_bounds_hold_whatever_the_demand():
+def test_the_bounds_hold_for_any_demand():
     scaling = Scaling(BOUNDS)
     for busy, wanted in ((0.0, BOUNDS.least), (10_000.0, BOUNDS.most)):
         scaling = Scaling(BOUNDS)
         found = {}
         for turn in range(40):
             demands = {"dc-a": Demand(busy, found.get("dc-a", 4), SLOTS)}
-            found = scaling.decide(demands, turn * LOOK_S)
+            found = scaling.decide(demands, turn * TICK_S)
         assert found == {"dc-a": wanted}
 
 
-def test_fewer_are_ordered_only_after_a_while():
+def test_fewer_endpoints_are_ordered_only_after_a_while():
     scaling = Scaling(BOUNDS)
     assert scaling.decide({"dc-a": Demand(0.0, 10, SLOTS)}, 0.0) == {"dc-a": 10}
     found = {}
-    for turn in range(1, int(LOWER_AFTER_S / LOOK_S) + 1):
-        found = scaling.decide({"dc-a": Demand(0.0, 10, SLOTS)}, turn * LOOK_S)
+    for turn in range(1, int(SCALE_DOWN_AFTER_S / TICK_S) + 1):
+        found = scaling.decide({"dc-a": Demand(0.0, 10, SLOTS)}, turn * TICK_S)
     assert found == {"dc-a": BOUNDS.least}
 
 
-def test_one_data_centre_that_has_its_most_is_helped_by_another():
+def test_a_data_centre_at_its_maximum_is_helped_by_another():
     found = Scaling(BOUNDS).decide(
         {"dc-a": Demand(140.0, 20, SLOTS), "dc-b": Demand(10.0, 2, SLOTS)}, 0.0
     )
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(("endpoints", "gateways"), [(2700, 350), (1000, 100), (40, 12)])
-def test_each_endpoint_hears_from_some_gateways_and_no_gateway_has_many(
+def test_each_endpoint_gets_heartbeats_and_no_gateway_has_many_endpoints(
     endpoints: int, gateways: int
 ) -> None:
     names = [f"e{index}" for index in range(endpoints)]
@@ -23,11 +23,11 @@
     assert sum(1 for name in names if heard[name] < 2) < endpoints // 10
 
 
-def test_small_pools_are_heard_by_everybody() -> None:
+def test_in_small_pools_every_gateway_has_every_endpoint() -> None:
     assert gateway_subset(["b", "a"], 3, 5, 2) == ["a", "b"]
 
 
-def test_trainer_shard_is_the_same_everywhere_and_moves_little() -> None:
+def test_a_trainer_shard_is_the_same_everywhere_and_changes_little() -> None:
     names = [f"e{index}" for index in range(2700)]
     shard = trainer_shard("t", names, trainers=9)
     assert shard == trainer_shard("t", list(reversed(names)), trainers=9)
--- a/tests/policy/test_true_time.py
+++ b/tests/policy/test_true_time.py
@@ -1,4 +1,4 @@
-"""The true time, while clocks of some boxes jump ahead and back."""
+"""The estimated true time while the clocks of some boxes jump."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from threadramp.policy.true_time import MAX_DEVIATION_S, READING_TTL_S, RELIABLE_AFTER_S, TrueTime
 
-BOOT = 1_790_000_000.0  # time of day at which the steady clock was 0
+BOOT = 1_790_000_000.0  # time of day at which the monotonic clock was 0
 
 
 class JumpingClock:
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("jump", [-2.0, 2.0, 3600.0])
-def test_a_jump_of_its_own_clock_moves_it_not(jump):
+def test_a_jump_of_the_own_clock_has_no_effect(jump):
     clock = JumpingClock()
     true_time = TrueTime(clock)
     clock.jump = jump
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("jump", [-2.0, 2.0])
-def test_a_start_while_its_own_clock_is_off_is_put_right_by_others(jump):
+def test_a_wrong_own_clock_at_the_start_is_corrected_by_others(jump):
     clock = JumpingClock(jump=jump)
     true_time = TrueTime(clock)
     for box in ("a", "b"):
@@ -42,8 +42,8 @@
 
 
 @pytest.mark.parametrize("jump", [-2.0, 2.0])
-def test_one_other_alone_moves_it_not(jump):
-    """Of two that differ neither is known to be right; a second one that agrees with it decides."""
+def test_one_other_box_alone_has_no_effect(jump):
+    """Of two clocks that differ, either may be right; a third that agrees with one decides."""
     clock = JumpingClock()
     true_time = TrueTime(clock)
     true_time.add_reading("off", BOOT + clock.now() + jump, clock.now())
@@ -52,7 +52,7 @@
     assert true_time.now() == BOOT + clock.now() + jump
 
 
-def test_it_is_sure_once_two_others_told_or_nobody_will():
+def test_it_is_reliable_after_two_readings_or_some_time():
     clock = JumpingClock()
     true_time = TrueTime(clock)
     true_time.add_reading("a", BOOT + clock.now(), clock.now())
@@ -65,7 +65,7 @@
     assert alone.is_reliable()
 
 
-def test_messages_that_come_late_move_it_not():
+def test_late_messages_have_no_effect():
     clock = JumpingClock()
     true_time = TrueTime(clock)
     for late in (0.0, 0.1, MAX_DEVIATION_S - 0.01):
@@ -73,7 +73,7 @@
         assert true_time.now() == BOOT + clock.now()
 
 
-def test_what_was_said_long_ago_does_not_count():
+def test_old_readings_are_ignored():
     clock = JumpingClock()
     true_time = TrueTime(clock)
     for box in ("a", "b"):
@@ -87,7 +87,7 @@
     st.integers(min_value=0, max_value=5),
     st.sampled_from([0.0, -2.0, 2.0]),
 )
-def test_less_than_half_that_are_off_move_it_not(jumps, more, own_jump):
+def test_fewer_than_half_wrong_clocks_have_no_effect(jumps, more, own_jump):
     clock = JumpingClock(jump=own_jump)
     true_time = TrueTime(clock)
     wrong = len(jumps) + bool(own_jump)
--- a/tests/policy/test_usage_windows.py
+++ b/tests/policy/test_usage_windows.py
@@ -1,4 +1,4 @@
-"""Counts by organisation and window, and how those of all processes come together."""
+"""Counts by organisation and window, and their totals over all processes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert book.changed_since(0) == (3, {0: {"acme": 1}, 1: {"acme": 1, "other": 1}})
 
 
-def test_what_did_not_begin_is_taken_back_also_when_it_was_told_already():
+def test_a_request_that_did_not_begin_is_uncounted_even_after_it_was_reported():
     book, table = UsageWindows(WINDOW_S), UsageTotals(WINDOW_S)
     book.record_start("acme", 1.0)
     table.merge("box", "i", *book.changed_since(table.seen("box", "i")), 1.5)
@@ -29,14 +29,14 @@
     assert table.total(0) == {}
 
 
-def test_old_windows_are_forgotten():
+def test_old_windows_are_dropped():
     book = UsageWindows(WINDOW_S)
     book.record_start("acme", 0.0)
     book.record_start("acme", (RETAINED_WINDOWS + 1) * WINDOW_S)
     assert list(book.changed_since(0)[1]) == [RETAINED_WINDOWS + 1]
 
 
-def test_a_process_that_was_killed_counts_with_what_it_told():
+def test_the_last_report_of_a_killed_process_counts():
     table = UsageTotals(WINDOW_S)
     table.merge("box", "first", 3, {0: {"acme": 3}}, 1.0)
     table.merge("box", "second", 1, {0: {"acme": 1}}, 4.0)
@@ -45,7 +45,7 @@
     assert not table.has_answered_after("box", 4.0)
 
 
-def test_an_answer_that_was_held_up_changes_nothing():
+def test_a_delayed_answer_is_ignored():
     table = UsageTotals(WINDOW_S)
     table.merge("box", "i", 5, {0: {"acme": 5}}, 2.0)
     table.merge("box", "i", 2, {0: {"acme": 2}}, 1.0)
@@ -54,7 +54,7 @@
 
 events = st.lists(
     st.tuples(
-        st.sampled_from(["request", "told", "lost"]),
+        st.sampled_from(["request", "reported", "lost"]),
         st.sampled_from(["acme", "other"]),
         st.floats(0, 14.9),
         st.sampled_from(["box-0", "box-1"]),
@@ -64,19 +64,19 @@
 
 
 @given(events)
-def test_no_answer_that_is_lost_or_repeated_leaves_a_request_out(rows):
+def test_lost_or_repeated_answers_lose_no_request(rows):
     books = {"box-0": UsageWindows(WINDOW_S), "box-1": UsageWindows(WINDOW_S)}
     table = UsageTotals(WINDOW_S)
-    truth: dict[int, Counter] = {}
+    expected: dict[int, Counter] = {}
     for what, organisation, at, box in rows:
         if what == "request":
             books[box].record_start(organisation, at)
-            truth.setdefault(int(at // WINDOW_S), Counter())[organisation] += 1
-        elif what == "told":
+            expected.setdefault(int(at // WINDOW_S), Counter())[organisation] += 1
+        elif what == "reported":
             table.merge(box, "i", *books[box].changed_since(table.seen(box, "i")), at)
         else:
-            books[box].changed_since(table.seen(box, "i"))  # its answer does not arrive
+            books[box].changed_since(table.seen(box, "i"))  # its answer is lost
     for box, book in books.items():
         table.merge(box, "i", *book.changed_since(table.seen(box, "i")), 15.0)
     for window in range(3):
-        assert table.total(window) == dict(sorted(truth.get(window, Counter()).items()))
+        assert table.total(window) == dict(sorted(expected.get(window, Counter()).items()))
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -394,7 +394,7 @@
         "the middle of several clocks",
         "start_while_its_own_clock_is_off",
         TRUE_TIME,
-        "return self.own if abs(self.own - middle) < MAX_DEVIATION_S else middle",
+        "return self.own if abs(self.own - median) < MAX_DEVIATION_S else median",
         "return self.own",
     ),
     Removal.of_one(
