--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -370,10 +370,10 @@
 
         def call(at: UsageWindows = book, of: int = organisations) -> None:
             for number in range(of):
-                at.began(f"org-{number}", 1.0)
+                at.record_start(f"org-{number}", 1.0)
 
         def take(of: UsageWindows = book, at: UsageTotals = table) -> None:
-            at.note("box", "i", *of.changed_since(0), 1.0)
+            at.merge("box", "i", *of.changed_since(0), 1.0)
 
         cost = processor_ms(call, 5) / organisations * MS
         report("count of a request, processor", organisations, cost, "us")
