--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -192,7 +192,7 @@
             look.took_s,
             signs.kept,
             self.breaking.others_go_on(endpoint.start, signs),
-            self.book.is_reported_ended(self.book.current_incarnation(endpoint.start), sent_at),
+            self.book.is_reported_crashed(self.book.current_incarnation(endpoint.start), sent_at),
         )
 
     def _look_at(self, endpoint: Endpoint) -> Look:
--- a/src/threadramp/edge/end_watch.py
+++ b/src/threadramp/edge/end_watch.py
@@ -73,7 +73,7 @@
         finally:
             with self.lock:
                 held = self.held.pop(start)
-        if found is CrashResolution.ENDED:
+        if found is CrashResolution.CRASHED:
             for fingerprint, at in held.items():
                 if told:
                     self.book.confirm_crash(fingerprint, start, at, told)
@@ -97,7 +97,7 @@
             self.pause(pause_s)
             told = self.ask(address)
             if self.is_replaced(start, address):
-                return CrashResolution.ENDED, told or 0
+                return CrashResolution.CRASHED, told or 0
             if told == 0 or (told is None and answered_s is not None):
                 answered_s = 0.0 if answered_s is None else answered_s + pause_s
                 if answered_s >= ENTRY_DELAY_S:
--- a/src/threadramp/policy/crash_tracker.py
+++ b/src/threadramp/policy/crash_tracker.py
@@ -90,7 +90,7 @@
         self.unsent: dict[bytes, None] = {}
         self.unsent_alive: dict[Start, None] = {}
         self.own: set[bytes] = set()
-        self.reported_ended: set[Start] = set()
+        self.reported_crashed: set[Start] = set()
         self.start_times = StartTimes()
         self.lock = threading.RLock()
 
@@ -129,10 +129,10 @@
         with self.lock:
             return self.start_times.current(incarnation)
 
-    def is_reported_ended(self, incarnation: Start, at: float) -> bool:
+    def is_reported_crashed(self, incarnation: Start, at: float) -> bool:
         """Return whether an incarnation is reported to have crashed before a time."""
         with self.lock:
-            return incarnation in self.reported_ended and bool(self._suspects_of(incarnation, at))
+            return incarnation in self.reported_crashed and bool(self._suspects_of(incarnation, at))
 
     def record_success(self, fingerprint: bytes, now: float) -> bool:
         """Record a successful answer; returns false if the request was not suspected."""
@@ -158,7 +158,7 @@
     def record_answer(self, incarnation: Start, now: float) -> bool:
         """Record an answer; returns true if it disproves a crash that was reported earlier."""
         with self.lock:
-            if incarnation not in self.reported_ended or not self._is_retracted_by(
+            if incarnation not in self.reported_crashed or not self._is_retracted_by(
                 incarnation, now
             ):
                 return False
@@ -172,7 +172,7 @@
         :param start_time: the start time that it reports, 0 if it reports none
         """
         with self.lock:
-            self.start_times.note(incarnation.instance, start_time)
+            self.start_times.record(incarnation.instance, start_time)
             self._record_alive(incarnation, now)
         self.on_update()
 
@@ -224,7 +224,7 @@
         with self.lock:
             for expired in [key for key, one in self.suspects.items() if _is_old(one, now)]:
                 self._forget(expired)
-            self.reported_ended = {
+            self.reported_crashed = {
                 one.start for row in self.suspects.values() for one in row.crashes
             }
             if not self.suspects:
@@ -269,14 +269,14 @@
         for one in seen.crashes:
             held = crashes.get(one.start)
             crashes[one.start] = one if held is None else held.merged(one)
-            self.start_times.note(one.start.instance, one.next_born)
+            self.start_times.record(one.start.instance, one.next_born)
         remaining = [
             one
             for one in crashes.values()
             if one.is_proven or one.at >= self.alive.get(one.start, 0.0)
         ]
         remaining.sort(key=lambda one: one.at)
-        self.reported_ended.update(one.start for one in remaining)
+        self.reported_crashed.update(one.start for one in remaining)
         self.suspects[seen.fingerprint] = Suspect(
             seen.fingerprint,
             tuple(remaining[-MAX_CRASHES_PER_REQUEST:]),
--- a/src/threadramp/policy/proxied_crashes.py
+++ b/src/threadramp/policy/proxied_crashes.py
@@ -38,7 +38,7 @@
 class CrashResolution(Enum):
     """Whether an endpoint that may have crashed did crash."""
 
-    ENDED = "ended"
+    CRASHED = "ended"
     ALIVE = "lives"
     PENDING = "open"
 
@@ -85,8 +85,8 @@
     if reported is None or 0 < reported < known:  # an older one cannot have started later
         return CrashResolution.PENDING
     if not known and reported / MS_PER_S > broke_at - CLOCK_SKEW_S:
-        return CrashResolution.ENDED
-    return CrashResolution.ENDED if 0 < known < reported else CrashResolution.ALIVE
+        return CrashResolution.CRASHED
+    return CrashResolution.CRASHED if 0 < known < reported else CrashResolution.ALIVE
 
 
 def probe_delays() -> Iterator[float]:
@@ -100,7 +100,7 @@
     def __init__(self) -> None:
         self.newest: dict[str, int] = {}
 
-    def note(self, instance: str, start_time: int) -> None:
+    def record(self, instance: str, start_time: int) -> None:
         """Record a start time that an endpoint reported."""
         if start_time > self.newest.get(instance, 0):
             self.newest.pop(instance, None)
--- a/tests/policy/test_proxied_crashes.py
+++ b/tests/policy/test_proxied_crashes.py
@@ -60,7 +60,7 @@
 @given(known=start_times, reported=st.none() | start_times)
 def test_only_a_later_start_time_confirms_a_crash_and_only_an_answer_retracts_it(known, reported):
     found = resolve_crash(known, reported)
-    if found is CrashResolution.ENDED:
+    if found is CrashResolution.CRASHED:
         assert 0 < known < reported
     if reported is None:
         assert found is CrashResolution.PENDING
@@ -71,8 +71,8 @@
 @pytest.mark.parametrize(
     ("started_after_s", "expected"),
     [
-        (2.0, CrashResolution.ENDED),
-        (-4.0, CrashResolution.ENDED),
+        (2.0, CrashResolution.CRASHED),
+        (-4.0, CrashResolution.CRASHED),
         (-6.0, CrashResolution.ALIVE),
         (-600.0, CrashResolution.ALIVE),
     ],
@@ -152,19 +152,19 @@
     start = Start("i-0", STARTED_MS)
     here.record_crash(ONE, start, NOW, listens=True)
     there.merge(here.take_updates(), NOW)
-    assert there.is_reported_ended(start, NOW + 0.1)
+    assert there.is_reported_crashed(start, NOW + 0.1)
     here.confirm_crash(ONE, start, NOW, STARTED_MS + 7)
     there.merge(here.take_updates(), NOW)
     assert there.current_incarnation(start) == Start("i-0", STARTED_MS + 7)
-    assert not there.is_reported_ended(there.current_incarnation(start), NOW + 0.1)
+    assert not there.is_reported_crashed(there.current_incarnation(start), NOW + 0.1)
     assert there.assess(ONE, NOW).crashes == 1
 
 
 @pytest.mark.parametrize("reported", [0, STARTED_MS - 1])
 def test_start_times_only_increase(reported):
     known = StartTimes()
-    known.note("i-0", STARTED_MS)
-    known.note("i-0", reported)
+    known.record("i-0", STARTED_MS)
+    known.record("i-0", reported)
     assert known.current(Start("i-0", STARTED_MS - 2)) == Start("i-0", STARTED_MS)
     assert known.current(Start("i-0", STARTED_MS + 2)) == Start("i-0", STARTED_MS + 2)
 
@@ -172,6 +172,6 @@
 def test_start_times_are_bounded():
     known = StartTimes()
     for number in range(MAX_START_TIMES + 5):
-        known.note(f"i-{number}", STARTED_MS)
+        known.record(f"i-{number}", STARTED_MS)
     assert len(known.newest) == MAX_START_TIMES
     assert known.current(Start("i-0", 1)).born == 1
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -295,8 +295,8 @@
         "ends behind a port taken back by the same birth",
         "links_that_flap_convict_nobody",
         PROXIED_CRASHES,
-        "CrashResolution.ENDED if 0 < known < reported else CrashResolution.ALIVE",
-        "CrashResolution.ENDED",
+        "CrashResolution.CRASHED if 0 < known < reported else CrashResolution.ALIVE",
+        "CrashResolution.CRASHED",
     ),
     Removal.of_one(
         "ends behind a port held against the sample",
