--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -26,12 +26,12 @@
 from threadramp.fleet.organisations import Organisation, Organisations, digest
 from threadramp.fleet.picture import Belief, Member
 from threadramp.platform.documents import read_configuration
-from threadramp.policy.crash_book import SUSPECTS_MOST, CrashBook
+from threadramp.policy.crash_tracker import MAX_SUSPECTS, CrashTracker
 from threadramp.policy.fingerprint import fingerprint
 from threadramp.policy.placement import LeastLoaded
 from threadramp.policy.subset import gateway_subset
 from threadramp.policy.tail import TAILS
-from threadramp.policy.usage_book import UsageBook, UsageTable
+from threadramp.policy.usage_windows import UsageTotals, UsageWindows
 from threadramp.wire.fleet import UsageCounts
 from threadramp.wire.messages import (
     CallStamp,
@@ -283,30 +283,35 @@
         body = bytes(size)
         cost = processor_ms(lambda: fingerprint("h", "POST", "/a", "c", body), 20)  # noqa: B023
         report("fingerprint of a body, processor", size, cost, "ms")
-    for suspects in (0, 250, 1000, SUSPECTS_MOST):
+    for suspects in (0, 250, 1000, MAX_SUSPECTS):
         book = crash_book(suspects)
 
-        def rule(at: CrashBook = book) -> None:
-            at.ruling(b"another-request0", CRASHED_AT)
+        def rule(at: CrashTracker = book) -> None:
+            at.assess(b"another-request0", CRASHED_AT)
 
-        def end(at: CrashBook = book) -> None:
-            at.crashed(b"another-request0", Start("i"), CRASHED_AT)
+        def end(at: CrashTracker = book) -> None:
+            at.record_crash(b"another-request0", Start("i"), CRASHED_AT)
 
-        def build(count: int = suspects) -> CrashBook:
+        def build(count: int = suspects) -> CrashTracker:
             return crash_book(count)
 
         report("ruling on a request, processor", suspects, processor_ms(rule, 2000), "ms")
         report("one more end, processor", suspects, processor_ms(end, 20), "ms")
         report("suspects in memory", suspects, allocated_kb(build), "KB")
-        report("part in the store", suspects, len(msgspec.msgpack.encode(book.to_keep())), "bytes")
+        report(
+            "part in the store",
+            suspects,
+            len(msgspec.msgpack.encode(book.records_to_persist())),
+            "bytes",
+        )
 
 
-def crash_book(suspects: int) -> CrashBook:
+def crash_book(suspects: int) -> CrashTracker:
     """Return a book with requests under which two endpoints ended each."""
-    book = CrashBook()
+    book = CrashTracker()
     for number in range(suspects):
         for start in (f"i-{number % 50}", f"i-{number % 50 + 50}"):
-            book.crashed(number.to_bytes(16, "big"), Start(start, 1), CRASHED_AT)
+            book.record_crash(number.to_bytes(16, "big"), Start(start, 1), CRASHED_AT)
     return book
 
 
@@ -361,14 +366,14 @@
 def measure_usage() -> None:
     """Measure what the counts of one gateway cost, by the organisations that called in a window."""
     for organisations in (10, 100, 1000):
-        book, table = UsageBook(5.0), UsageTable(5.0)
+        book, table = UsageWindows(5.0), UsageTotals(5.0)
 
-        def call(at: UsageBook = book, of: int = organisations) -> None:
+        def call(at: UsageWindows = book, of: int = organisations) -> None:
             for number in range(of):
-                at.began(f"org-{number}", 1.0)
+                at.record_start(f"org-{number}", 1.0)
 
-        def take(of: UsageBook = book, at: UsageTable = table) -> None:
-            at.note("box", "i", *of.changed_since(0), 1.0)
+        def take(of: UsageWindows = book, at: UsageTotals = table) -> None:
+            at.merge("box", "i", *of.changed_since(0), 1.0)
 
         cost = processor_ms(call, 5) / organisations * MS
         report("count of a request, processor", organisations, cost, "us")
@@ -377,7 +382,7 @@
         report("counts of a window on the wire", organisations, message_bytes(told), "bytes")
         report("counts taken, processor", organisations, processor_ms(take, 20), "ms")
         for number in range(TARGET_GATEWAYS):
-            table.note(f"gateway-{number}", "i", changes, windows, 1.0)
+            table.merge(f"gateway-{number}", "i", changes, windows, 1.0)
         cost = processor_ms(lambda: table.total(0), 1)  # noqa: B023
         report("sum over 350 gateways, processor", organisations, cost, "ms")
 
--- a/src/threadramp/runner/crash_detection.py
+++ b/src/threadramp/runner/crash_detection.py
@@ -12,7 +12,7 @@
 
 from threadramp.edge.endpoint_probe import EndpointState, look_at
 from threadramp.edge.signs import timed_look
-from threadramp.policy.hidden_ends import Break, may_have_ended
+from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_crashed
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -28,7 +28,7 @@
     """
     found = timed_look(address, probe)
     if found.state is EndpointState.BREAKS:
-        return may_have_ended(Break(lived_s, found.took_s))
+        return may_have_crashed(ConnectionBreak(lived_s, found.took_s))
     return found.state is EndpointState.ENDED
 
 
--- a/src/threadramp/runner/weight_loader.py
+++ b/src/threadramp/runner/weight_loader.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.platform.engine import OrderOutcome
-from threadramp.policy.model_share import NamedVersion, next_load
+from threadramp.policy.load_schedule import PublishedVersion, next_load
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -104,20 +104,20 @@
         )
         return published[chosen] if chosen is not None else None
 
-    def _published_version(self, target: WeightTarget) -> NamedVersion:
+    def _published_version(self, target: WeightTarget) -> PublishedVersion:
         """Return a published version along with the version that the engine holds."""
         now = self.clock.now()
         known = self.known_versions.get(target.model)
         if known is None or known.version != target.version:
             known = KnownVersion(target.version, now)
             self.known_versions[target.model] = known
-        return NamedVersion(
+        return PublishedVersion(
             model=target.model,
             version=target.version,
             held=self.engine.report.versions.get(target.model, 0),
             # A version does not age while orders are blocked, for example during the wait for the
             # engine lock, 5 s after a takeover.
-            known_s=0.0 if known.is_blocked else now - known.since,
+            age_s=0.0 if known.is_blocked else now - known.since,
         )
 
     def request_urgent_load(self, model: str) -> None:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -42,9 +42,9 @@
 from threadramp.lots.scoring import Scoring
 from threadramp.platform.duty_calls import DutyCalls
 from threadramp.platform.store import StoreClient
-from threadramp.policy.crash_book import CrashBook
-from threadramp.policy.endpoint_choice import EndpointChoice
-from threadramp.policy.listing import LISTINGS
+from threadramp.policy.crash_tracker import CrashTracker
+from threadramp.policy.endpoint_choice import EndpointSelector
+from threadramp.policy.listing_policy import LISTINGS
 from threadramp.policy.retries import RetryBudget
 from threadramp.policy.true_time import TrueTime
 from threadramp.policy.usage_schedule import UsageSchedule
@@ -157,7 +157,7 @@
         self.watchers = self._new_watchers(store, health, clock)
         store.on_silence.append(self._note_silence)
         self.emptying = Emptying(self.member.name, self.picture, store)
-        book = CrashBook()
+        book = CrashTracker()
         self.crashes = CrashSharing(book, self.peers, store, health, clock, self.member.name)
         self.guard = CrashGuard(book, clock, self.picture, self.crashes.claim, self.metrics.count)
         self.true_time = TrueTime(clock)
@@ -259,7 +259,7 @@
         forwarder = Forwarder(
             self.picture,
             connections,
-            EndpointChoice(random),
+            EndpointSelector(random),
             RetryBudget(),
             clock,
             self.guard,
--- a/tests/runner/test_weight_loader.py
+++ b/tests/runner/test_weight_loader.py
@@ -8,7 +8,7 @@
 
 from threadramp.fleet.clock import Clock
 from threadramp.fleet.model import WeightTarget
-from threadramp.policy.model_share import ModelShare
+from threadramp.policy.load_schedule import LoadSchedule
 from threadramp.runner import engine as engine_module
 from threadramp.runner.engine import Engine
 from threadramp.runner.weight_loader import BUFFERED_ORDER_S, WeightLoader
@@ -41,7 +41,7 @@
         slots=12,
         targets_revision=revision,
         targets=targets,
-        share=fields.pop("share", ModelShare({"m": 0})),
+        share=fields.pop("share", LoadSchedule({"m": 0})),
         **fields,
     )
 
@@ -72,7 +72,7 @@
     lock = FakeLock(number=0)
     weights = WeightLoader(sidecar_engine, Clock(), lock)
     sidecar_engine.update_facts(facts(version=2))
-    until = time.monotonic() + ModelShare({"m": 0}).new_s(1) + 0.5
+    until = time.monotonic() + LoadSchedule({"m": 0}).freshness_s(1) + 0.5
     turn_until(weights, lambda: time.monotonic() > until)
     lock.number = 10
     turn_until(weights, lambda: engine.versions["m"] == 2)
@@ -106,7 +106,7 @@
     """Fencing by each model's own revision let a lower token follow a higher one."""
     weights = WeightLoader(sidecar_engine, Clock(), FakeLock(110))
     targets = (WeightTarget("m", 5, 100),)
-    share = ModelShare({"m": 0})
+    share = LoadSchedule({"m": 0})
     sidecar_engine.update_facts(
         Facts(1, "i-1", slots=12, targets_revision=120, targets=targets, share=share)
     )
@@ -145,7 +145,7 @@
     weights = WeightLoader(sidecar_engine, clock, FakeLock())
     now = int(clock.time_of_day() + 0.5) % 4
     sidecar_engine.update_facts(
-        facts(version=2, share=ModelShare({"m": 0}, turn=(now + 2) % 4, turns=4))
+        facts(version=2, share=LoadSchedule({"m": 0}, turn=(now + 2) % 4, turns=4))
     )
     sidecar_engine.read_report()
     weights.run_once()
@@ -161,7 +161,7 @@
     weights = WeightLoader(sidecar_engine, clock, FakeLock())
     now = int(clock.time_of_day() + 0.5) % 4
     sidecar_engine.update_facts(
-        facts(version=3, share=ModelShare({"m": 0}, turn=(now + 2) % 4, turns=4))
+        facts(version=3, share=LoadSchedule({"m": 0}, turn=(now + 2) % 4, turns=4))
     )
     sidecar_engine.read_report()
     weights.request_urgent_load("m")
