--- a/bench/pool_model.py
+++ b/bench/pool_model.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.lot_book import LotBook, LotRules, Phase, RunOutcome
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.lots.model import Lot, Sample
 from threadramp.policy.hurry import engines_to_hurry
 from threadramp.policy.lengths import Lengths
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -22,9 +22,9 @@
 from threadramp.core.sidecar import SidecarCore
 from threadramp.core.step import StepAssembly
 from threadramp.fleet.facts import facts_for, serves_any
-from threadramp.fleet.model import Configuration, Endpoint, Pool, Start, WeightTarget
+from threadramp.fleet.fleet_view import FleetSnapshot, Member
+from threadramp.fleet.model import Configuration, Endpoint, Incarnation, Pool, WeightTarget
 from threadramp.fleet.organisations import Organisation, Organisations, digest
-from threadramp.fleet.picture import Belief, Member
 from threadramp.platform.documents import read_configuration
 from threadramp.policy.crash_book import SUSPECTS_MOST, CrashBook
 from threadramp.policy.fingerprint import fingerprint
@@ -251,7 +251,7 @@
         report("used key: memory", keys, allocated_kb(fill) / keys, "KB")
 
 
-def platform_belief(engines: int) -> Belief:
+def platform_belief(engines: int) -> FleetSnapshot:
     """Return what a gateway believes of a pool of engines with a sidecar each."""
     addresses = [f"10.0.{n // 250}.{n % 250}:80" for n in range(engines)]
     endpoints = {f"i-{n}": Endpoint(f"i-{n}", "p", one, "a", 8) for n, one in enumerate(addresses)}
@@ -262,7 +262,7 @@
     models = tuple(f"m{n}" for n in range(TRAINERS))
     configuration = Configuration(pools={"p": Pool("p", models=models)})
     targets = tuple(WeightTarget(model, 2, 5) for model in models)
-    return Belief(configuration, endpoints, members, targets)
+    return FleetSnapshot(configuration, endpoints, members, targets)
 
 
 def measure_facts() -> None:
@@ -290,7 +290,7 @@
             at.ruling(b"another-request0", CRASHED_AT)
 
         def end(at: CrashBook = book) -> None:
-            at.crashed(b"another-request0", Start("i"), CRASHED_AT)
+            at.crashed(b"another-request0", Incarnation("i"), CRASHED_AT)
 
         def build(count: int = suspects) -> CrashBook:
             return crash_book(count)
@@ -306,7 +306,7 @@
     book = CrashBook()
     for number in range(suspects):
         for start in (f"i-{number % 50}", f"i-{number % 50 + 50}"):
-            book.crashed(number.to_bytes(16, "big"), Start(start, 1), CRASHED_AT)
+            book.crashed(number.to_bytes(16, "big"), Incarnation(start, 1), CRASHED_AT)
     return book
 
 
--- a/src/threadramp/duties/collecting.py
+++ b/src/threadramp/duties/collecting.py
@@ -14,8 +14,8 @@
     from collections.abc import Callable, Iterable
 
     from threadramp.duties.demand import Open
+    from threadramp.fleet.fleet_view import Member
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Member
     from threadramp.policy.true_time import TrueTime
 
 ASK_TIMEOUT_S = 0.5
@@ -123,7 +123,7 @@
 
     def round(self) -> int:
         """Ask all other gateways once; returns how many answered."""
-        others = self.peers.gateways_lately()
+        others = self.peers.recent_gateways()
         asks = {one.address: self._ask(one) for one in others}
         begun = self.peers.clock.now()
         replies = self.peers.ask_all(asks, ASK_TIMEOUT_S) if asks else {}
@@ -187,13 +187,13 @@
 
     def _expected(self) -> Iterable[str]:
         """Return the gateways that are listed, this one among them, and those heard lately."""
-        listed = [one.name for one in self.peers.picture.belief.gateways()]
+        listed = [one.name for one in self.peers.fleet_view.snapshot.gateways()]
         return {*listed, self.peers.member.name}
 
     def _ask(self, member: Member) -> ReadUsage:
         incarnation = self.incarnations.get(member.name, "")
         seen = self.table.seen(member.name, incarnation)
-        return ReadUsage(*self.peers.myself, incarnation, seen, self.true_time.now())
+        return ReadUsage(*self.peers.sender_fields, incarnation, seen, self.true_time.now())
 
     def _take_own(self, asked_at: float) -> None:
         counting = self.counting
--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -8,7 +8,7 @@
 from threadramp.core.lot_book import Phase
 
 if TYPE_CHECKING:
-    from threadramp.fleet.picture import Belief, Picture
+    from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
     from threadramp.lots.owned import OwnedLots
     from threadramp.policy.endpoint_choice import EndpointChoice
 
@@ -18,14 +18,14 @@
 class DemandCounting:
     """Counts open requests of callers, and samples that run or wait."""
 
-    def __init__(self, picture: Picture, choice: EndpointChoice, owned: OwnedLots) -> None:
+    def __init__(self, picture: FleetView, choice: EndpointChoice, owned: OwnedLots) -> None:
         self.picture = picture
         self.choice = choice
         self.owned = owned
 
     def open(self) -> Open:
         """Return what is open now; nothing where no pool follows demand."""
-        belief = self.picture.belief
+        belief = self.picture.snapshot
         configuration = belief.configuration
         if configuration is None:
             return {}
@@ -35,13 +35,13 @@
             self._add_samples(found, belief)
         return {name: dict(row) for name, row in found.items()}
 
-    def _calls(self, pool: str, belief: Belief) -> Counter[str]:
+    def _calls(self, pool: str, belief: FleetSnapshot) -> Counter[str]:
         row: Counter[str] = Counter()
         for endpoint in belief.in_pool(pool):
             row[endpoint.data_centre] += self.choice.open_at(endpoint)
         return row
 
-    def _add_samples(self, found: dict[str, Counter[str]], belief: Belief) -> None:
+    def _add_samples(self, found: dict[str, Counter[str]], belief: FleetSnapshot) -> None:
         """Count the samples of own lots, spread over the pool's data centres."""
         for lot in self.owned.open():
             route = belief.configuration.route_for(lot.book.lot.host, lot.book.lot.path)
--- a/src/threadramp/duties/holding.py
+++ b/src/threadramp/duties/holding.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.fleet.picture import DUTIES_KEY
-from threadramp.fleet.rights import Right, read_right
+from threadramp.fleet.fenced_lock import FencedLock, decode_lock_record
+from threadramp.fleet.fleet_view import DUTIES_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.platform.store import StoreClient
 
 
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        picture: Picture,
+        picture: FleetView,
         store: StoreClient,
         box: str,
         apart_s: float,
@@ -40,19 +40,19 @@
         self.picture = picture
         self.box = box
         # What is done under it is proven by a write of its own, or by asking the store for it.
-        self.right = Right(store, DUTIES_KEY, box, apart_s, clock, may_take)
+        self.right = FencedLock(store, DUTIES_KEY, box, apart_s, clock, may_take)
 
     def holder(self) -> str:
         """Return who holds the right as far as this gateway knows, empty if nobody does."""
         item = self.picture.members.snapshot().get(DUTIES_KEY)
-        held = read_right(item.value) if item is not None else None
+        held = decode_lock_record(item.value) if item is not None else None
         return held.holder if held is not None else ""
 
     def usable_number(self) -> int:
         """Return the number of the right now, 0 if it may not be used."""
-        if self.right.number and self.holder() not in ("", self.box):
-            self.right.doubt()  # or the list of members does not show yet that it is ours
-        return self.right.usable_number()
+        if self.right.fencing_token and self.holder() not in ("", self.box):
+            self.right.invalidate()  # or the list of members does not show yet that it is ours
+        return self.right.cached_token()
 
     def is_mine(self) -> bool:
         """Return whether this gateway holds it as far as it knows."""
--- a/src/threadramp/duties/proof.py
+++ b/src/threadramp/duties/proof.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from threadramp.fleet.rights import Right
+    from threadramp.fleet.fenced_lock import FencedLock
 
 # For which a proof holds, from when the store was asked. With the time for which what was sent may
 # lie in this box's kernel it is less than half of the time for which the next holder waits.
@@ -15,7 +15,7 @@
 class RecentProof:
     """The last proof that the right is ours; its age counts from the question, not the answer."""
 
-    def __init__(self, right: Right) -> None:
+    def __init__(self, right: FencedLock) -> None:
         self.right = right
         self.number = 0
         self.asked_at = float("-inf")
@@ -33,7 +33,7 @@
         if self.still_holds(number):
             return True
         asked_at = self.right.clock.now()
-        if self.right.proven_number() != number:
+        if self.right.verified_token() != number:
             return False
         self.note(number, asked_at)
         return self.still_holds(number)
--- a/src/threadramp/duties/scale_orders.py
+++ b/src/threadramp/duties/scale_orders.py
@@ -13,9 +13,9 @@
 
 if TYPE_CHECKING:
     from threadramp.duties.collecting import UsageCollecting
+    from threadramp.fleet.fenced_lock import FencedLock
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.model import Pool
-    from threadramp.fleet.picture import Picture
-    from threadramp.fleet.rights import Right
     from threadramp.platform.duty_calls import DutyCalls
     from threadramp.report.metrics import Metrics
 
@@ -28,10 +28,10 @@
 
     def __init__(
         self,
-        right: Right,
+        right: FencedLock,
         calls: DutyCalls,
         collecting: UsageCollecting,
-        picture: Picture,
+        picture: FleetView,
         metrics: Metrics,
     ) -> None:
         self.right = right
@@ -51,7 +51,7 @@
         :param number: of the right, which this gateway holds
         """
         now = self.right.clock.now()
-        configuration = self.picture.belief.configuration
+        configuration = self.picture.snapshot.configuration
         if configuration is None or now - self.looked_at < LOOK_S:
             return
         self.looked_at = now
@@ -80,7 +80,7 @@
         ]
 
     def _demands(self, pool: Pool) -> dict[str, Demand]:
-        endpoints = [one for one in self.picture.belief.in_pool(pool.name) if not one.leaving]
+        endpoints = [one for one in self.picture.snapshot.in_pool(pool.name) if not one.leaving]
         serving = Counter(one.data_centre for one in endpoints)
         slots = max((one.slots for one in endpoints), default=pool.slots) or 1
         busy = self.collecting.open_at(pool.name)
@@ -108,7 +108,7 @@
         if answer.outcome is DutyOutcome.TAKEN:
             self.ordered[pool, data_centre] = count
         elif answer.outcome is DutyOutcome.OLD_NUMBER:
-            self.right.doubt()
+            self.right.invalidate()
 
 
 __all__ = ["ScaleOrders"]
--- a/src/threadramp/duties/turns.py
+++ b/src/threadramp/duties/turns.py
@@ -18,8 +18,8 @@
     from threadramp.duties.holding import DutyHolding
     from threadramp.duties.scale_orders import ScaleOrders
     from threadramp.duties.usage_reports import UsageReports
+    from threadramp.fleet.fleet_view import Member
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Member
 
 TURN_S = 1.0
 TURN_LEAST_S = 0.1  # between two turns, however long one took
@@ -75,7 +75,7 @@
         holder that answers them, 5 s and more while it stops.
         """
         if self.holding.is_mine():
-            self.holding.right.usable_number()  # learns its number, if it is not known yet
+            self.holding.right.cached_token()  # learns its number, if it is not known yet
         self.leaving = True
         if not self.holding.is_mine():
             return
@@ -83,7 +83,7 @@
         heirs = [name for name in in_order(self._names()) if name not in unanswered]
         heirs = [name for name in heirs if name != self._me]
         try:
-            self.holding.right.give_to(heirs[0] if heirs else "")
+            self.holding.right.transfer_to(heirs[0] if heirs else "")
         except StoreError as error:  # it is taken over once this gateway does not answer
             log_state("duties_not_handed_over", error=str(error))
 
@@ -93,7 +93,7 @@
         if not collects(self._me, holder, self._names()):
             return
         self.answered = self.collecting.round()
-        if self.leaving or not (self.holding.right.number or self.may_take(None)):
+        if self.leaving or not (self.holding.right.fencing_token or self.may_take(None)):
             return
         number = self.holding.usable_number()
         if not number:
@@ -122,7 +122,7 @@
         counting = self.collecting.counting
         changes, windows = counting.changed_since(0)
         counts = UsageCounts(counting.box, counting.incarnation, changes, windows, 0.0)
-        ask = UsageLeft(*self.peers.myself, counts)
+        ask = UsageLeft(*self.peers.sender_fields, counts)
         told: set[str] = set()
         while True:
             waiting = {one.address: one.name for one in self._collectors() if one.name not in told}
@@ -146,7 +146,7 @@
         return self.peers.member.name
 
     def _names(self) -> list[str]:
-        listed = [one.name for one in self.peers.picture.belief.gateways()]
+        listed = [one.name for one in self.peers.fleet_view.snapshot.gateways()]
         return listed if self._me in listed else [*listed, self._me]
 
     def _run(self) -> None:
--- a/src/threadramp/duties/usage_reports.py
+++ b/src/threadramp/duties/usage_reports.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from threadramp.duties.collecting import UsageCollecting
-    from threadramp.fleet.rights import Right
+    from threadramp.fleet.fenced_lock import FencedLock
     from threadramp.platform.duty_calls import DutyCalls
     from threadramp.platform.store import StoreClient
     from threadramp.policy.true_time import TrueTime
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        right: Right,
+        right: FencedLock,
         store: StoreClient,
         calls: DutyCalls,
         collecting: UsageCollecting,
@@ -117,7 +117,7 @@
         else:
             found = answer.current.get(key)
             if found is None:
-                self.right.doubt()
+                self.right.invalidate()
                 raise StoreError(f"the right {self.number} is another's by now")
             counts = _read(found.value)  # our own write whose answer was lost, or another holder's
         log_state(
@@ -155,7 +155,7 @@
         if answer.outcome is DutyOutcome.TAKEN:
             del self.unsent[window]
         elif answer.outcome is DutyOutcome.OLD_NUMBER:
-            self.right.doubt()
+            self.right.invalidate()
 
     def _is_over(self, window: int) -> bool:
         return self.schedule.is_over(window, self.true_time.now())
--- a/src/threadramp/edge/attempts.py
+++ b/src/threadramp/edge/attempts.py
@@ -24,8 +24,8 @@
     from threadramp.edge.exchange import Answer, Exchange
     from threadramp.edge.job import Job
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.model import Endpoint, Start
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
+    from threadramp.fleet.model import Endpoint, Incarnation
     from threadramp.platform.headers import AnswerHead
     from threadramp.policy.endpoint_choice import EndpointChoice
     from threadramp.policy.retries import RetryBudget
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        picture: Picture,
+        picture: FleetView,
         connections: Connections,
         choice: EndpointChoice,
         budget: RetryBudget,
@@ -63,13 +63,13 @@
 
     def forget_gone(self) -> None:
         """Drop what is kept of starts that are not listed any more."""
-        starts = {one.start for one in self.picture.belief.endpoints.values()}
+        starts = {one.incarnation for one in self.picture.snapshot.endpoints.values()}
         self.connections.forget(starts)
         self.choice.forget(starts)
 
     def keep(self, exchange: Exchange, answer: Answer) -> None:
         """Keep a connection for the next request, within this gateway's share."""
-        belief = self.picture.belief
+        belief = self.picture.snapshot
         pool = belief.pool(exchange.endpoint.pool)
         most = idle_share(pool.max_connections, len(belief.gateways()))
         self.connections.keep(exchange, answer, self.clock.now(), most)
@@ -149,9 +149,9 @@
         tries.rejected.clear()
         return self._pause(REJECTED_PAUSE_S)
 
-    def _pick(self, taken: Set[Start]) -> Endpoint | None:
+    def _pick(self, taken: Set[Incarnation]) -> Endpoint | None:
         """Return an endpoint that it was not at, none of those that are taken."""
-        endpoints = self.parts.picture.belief.in_pool(self.pool)
+        endpoints = self.parts.picture.snapshot.in_pool(self.pool)
         return self.parts.choice.choose(endpoints, self.tries.passed_over | taken, self.now())
 
     def _held_back(self) -> Outcome | None:
@@ -175,7 +175,7 @@
         left = self.job.until - now
         if left <= 0.0:  # the process stood still since it looked whether there was time
             return
-        self.tries.sent_at[endpoint.start] = now
+        self.tries.sent_at[endpoint.incarnation] = now
         ident = self.job.request_id
         on_new = on_new or not ident  # nothing would tell its answer from a second one before it
         try:
@@ -198,12 +198,12 @@
     def begun(self, endpoint: Endpoint, at: float) -> None:
         """Count the job as begun at an endpoint, for the usage of its organisation."""
         if self.parts.counting is not None:
-            self.tries.begun_at[endpoint.start] = at
+            self.tries.begun_at[endpoint.incarnation] = at
             self.parts.counting.began(self.job.who.organisation, at)
 
     def not_begun(self, endpoint: Endpoint) -> None:
         """Take that back: the endpoint said so, or it never saw the job."""
-        at = self.tries.begun_at.pop(endpoint.start, None)
+        at = self.tries.begun_at.pop(endpoint.incarnation, None)
         if at is not None:
             self.parts.counting.did_not_begin(self.job.who.organisation, at)
 
@@ -231,7 +231,7 @@
     def rejected(self, endpoint: Endpoint, status: int) -> None:
         """Note that an endpoint said it did not run the job."""
         self.not_begun(endpoint)
-        self.tries.rejected.add(endpoint.start)
+        self.tries.rejected.add(endpoint.incarnation)
         log_state(
             "rejected", request=self.job.request_id, instance=endpoint.instance, status=status
         )
@@ -252,15 +252,15 @@
     def _has_ended(self, endpoint: Endpoint, error: ExchangeError) -> bool:
         """Return whether an endpoint that broke its connection has ended under this request."""
         signs = Signs(
-            self.now() - self.tries.sent_at[endpoint.start],
+            self.now() - self.tries.sent_at[endpoint.incarnation],
             error.stale,
-            sum(one.endpoint.start == endpoint.start for one in self.tries.open),
+            sum(one.endpoint.incarnation == endpoint.incarnation for one in self.tries.open),
             lambda: self.parts.choice.open_at(endpoint),
         )
         if not self.parts.guard.broke(self.job, endpoint, signs):
             return False
-        self.tries.ended.add(endpoint.start)
-        self.parts.connections.forget_one(endpoint.start)
+        self.tries.ended.add(endpoint.incarnation)
+        self.parts.connections.forget_one(endpoint.incarnation)
         return True
 
     def note_failure(
@@ -271,12 +271,12 @@
         :param pause: seconds for which others are preferred
         """
         if ran:
-            self.tries.ran.add(endpoint.start)
+            self.tries.ran.add(endpoint.incarnation)
             self.tries.may_have_run = True
         elif error.nobody:
-            self.tries.unreachable.add(endpoint.start)
+            self.tries.unreachable.add(endpoint.incarnation)
         else:
-            self.tries.rejected.add(endpoint.start)
+            self.tries.rejected.add(endpoint.incarnation)
         log_state(
             "endpoint_failed",
             request=self.job.request_id,
@@ -289,7 +289,7 @@
     def _connection_stale(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
         """Note that a kept connection was closed; the endpoint may be asked on a new one."""
         self.not_begun(endpoint)
-        self.parts.connections.forget_one(endpoint.start)  # the others rested as long
+        self.parts.connections.forget_one(endpoint.incarnation)  # the others rested as long
         self.tries.may_have_run |= ran
         log_state(
             "connection_stale",
--- a/src/threadramp/edge/connections.py
+++ b/src/threadramp/edge/connections.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from threadramp.edge.exchange import Answer
-    from threadramp.fleet.model import Endpoint, Start
+    from threadramp.fleet.model import Endpoint, Incarnation
 
 CONNECT_TIMEOUT_S = 0.3  # a sound endpoint answers within a few ms, across regions within tens
 IDLE_S = 3.0  # a kept connection is used again within this time if the endpoint names none
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, count: Callable[[str, str], None] = lambda kind, label: None) -> None:
-        self.idle: dict[Start, deque[_Idle]] = {}
+        self.idle: dict[Incarnation, deque[_Idle]] = {}
         self.lock = threading.Lock()
         self.opened = 0
         self.count = count
@@ -96,18 +96,18 @@
             return
         until = now + _idle_s(answer)
         with self.lock:
-            row = self.idle.setdefault(exchange.endpoint.start, deque())
+            row = self.idle.setdefault(exchange.endpoint.incarnation, deque())
             if len(row) < most:
                 row.append(_Idle(exchange.connection, until))
                 return
         exchange.connection.close()
 
-    def forget(self, starts: set[Start]) -> None:
+    def forget(self, starts: set[Incarnation]) -> None:
         """Close the kept connections of all starts but these."""
         for gone in [one for one in list(self.idle) if one not in starts]:
             self.forget_one(gone)
 
-    def forget_one(self, start: Start) -> None:
+    def forget_one(self, start: Incarnation) -> None:
         """Close the kept connections of one start of an endpoint."""
         with self.lock:
             row = self.idle.pop(start, ())
@@ -118,7 +118,7 @@
         """Take a kept connection that did not carry an id, none if there is none."""
         while True:
             with self.lock:
-                row = self.idle.get(endpoint.start, deque())
+                row = self.idle.get(endpoint.incarnation, deque())
                 fitting = (one for one in reversed(row) if ident not in one.connection.carried)
                 idle = next(fitting, None)
                 if idle is None:
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -29,8 +29,8 @@
     from threadramp.edge.job import Job
     from threadramp.edge.signs import Signs
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.model import Endpoint, Start
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
+    from threadramp.fleet.model import Endpoint, Incarnation
     from threadramp.policy.crash_book import CrashBook
 
 LOOKED_S = 0.2  # all requests of an endpoint break at once; one look serves them
@@ -48,7 +48,7 @@
         self,
         book: CrashBook,
         clock: Clock,
-        picture: Picture,
+        picture: FleetView,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
         count: Callable[[str, str], None] = lambda kind, label: None,
         look: Callable[[str], EndpointState] = look_at,
@@ -61,8 +61,8 @@
         self.look = look
         self.ends = EndWatch(book, clock, is_replaced=self._is_replaced)
         self.breaking = Breaking()
-        self.looked: dict[Start, tuple[Look, float]] = {}
-        self.apart: set[Start] = set()
+        self.looked: dict[Incarnation, tuple[Look, float]] = {}
+        self.apart: set[Incarnation] = set()
         self.lock = threading.Lock()
 
     def ruling(self, fingerprint: Callable[[], bytes]) -> Ruling:
@@ -111,9 +111,9 @@
 
         :returns: whether the endpoint has ended, as far as can be seen now
         """
-        start = self.book.current(endpoint.start)
+        start = self.book.current(endpoint.incarnation)
         beside = signs.open_there() - signs.own
-        with self.breaking.looked_at(endpoint.start, signs):
+        with self.breaking.looked_at(endpoint.incarnation, signs):
             look = self._look_at(endpoint)
             listens = look.state is EndpointState.BREAKS
             held = listens and may_have_ended(self._break_of(endpoint, signs, look))
@@ -135,7 +135,7 @@
         return True
 
     def ended_under(
-        self, name: str, fingerprint: bytes, start: Start, listens: bool = False
+        self, name: str, fingerprint: bytes, start: Incarnation, listens: bool = False
     ) -> None:
         """Note that a start of an endpoint ended while a request was open there.
 
@@ -153,7 +153,7 @@
             listens=listens,
         )
 
-    def answered(self, fingerprint: Callable[[], bytes], start: Start) -> None:
+    def answered(self, fingerprint: Callable[[], bytes], start: Incarnation) -> None:
         """Note an answer: the endpoint lives, and the request ran there without ending it."""
         self.breaking.note_answer(start)
         if self.book.is_empty:
@@ -166,12 +166,12 @@
             self.count("crash", "acquitted")
             log_state("acquitted", fingerprint=shown(key), instance=start.instance)
 
-    def taken(self) -> set[Start]:
+    def taken(self) -> set[Incarnation]:
         """Return the endpoints that have a request which goes apart from other suspects."""
         with self.lock:
             return set(self.apart)
 
-    def take_place(self, start: Start) -> bool:
+    def take_place(self, start: Incarnation) -> bool:
         """Reserve an endpoint for a request that goes apart from other suspects."""
         with self.lock:
             if start in self.apart:
@@ -179,7 +179,7 @@
             self.apart.add(start)
             return True
 
-    def leave_place(self, start: Start) -> None:
+    def leave_place(self, start: Incarnation) -> None:
         """Let others apart go to an endpoint again."""
         with self.lock:
             self.apart.discard(start)
@@ -191,14 +191,14 @@
             signs.lived_s,
             look.took_s,
             signs.kept,
-            self.breaking.others_go_on(endpoint.start, signs),
-            self.book.ended_before(self.book.current(endpoint.start), sent_at),
+            self.breaking.others_go_on(endpoint.incarnation, signs),
+            self.book.ended_before(self.book.current(endpoint.incarnation), sent_at),
         )
 
     def _look_at(self, endpoint: Endpoint) -> Look:
         now = self.clock.now()
         with self.lock:
-            look, at = self.looked.get(endpoint.start, (None, float("-inf")))
+            look, at = self.looked.get(endpoint.incarnation, (None, float("-inf")))
         if look is not None and now - at <= LOOKED_S:
             return look
         look = timed_look(endpoint.address, self.look)
@@ -206,19 +206,19 @@
             self.looked = {
                 start: row for start, row in self.looked.items() if now - row[1] <= LOOKED_S
             }
-            self.looked[endpoint.start] = (look, now)
+            self.looked[endpoint.incarnation] = (look, now)
         return look
 
-    def _is_replaced(self, start: Start, address: str) -> bool:
+    def _is_replaced(self, start: Incarnation, address: str) -> bool:
         """Return whether a start of another id is listed where this one was."""
-        listed = self.picture.belief.endpoints.values()
+        listed = self.picture.snapshot.endpoints.values()
         return any(one.address == address and one.instance != start.instance for one in listed)
 
     def _left(self, endpoint: Endpoint) -> bool:
         """Return whether it had said that it leaves."""
         current = endpoint
         with suppress(KeyError):
-            current = self.picture.belief.endpoints[endpoint.instance]
+            current = self.picture.snapshot.endpoints[endpoint.instance]
         return current.leaving
 
 
--- a/src/threadramp/edge/end_watch.py
+++ b/src/threadramp/edge/end_watch.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
     from threadramp.policy.crash_book import CrashBook
 
 WATCHED_MOST = 64  # endpoints at once, each with a thread
@@ -35,17 +35,17 @@
         clock: Clock,
         ask: Callable[[str], int | None] = born_at,
         pause: Callable[[float], None] = time.sleep,
-        is_replaced: Callable[[Start, str], bool] = lambda start, address: False,
+        is_replaced: Callable[[Incarnation, str], bool] = lambda start, address: False,
     ) -> None:
         self.book = book
         self.clock = clock
         self.ask = ask
         self.pause = pause
         self.is_replaced = is_replaced
-        self.held: dict[Start, dict[bytes, float]] = {}
+        self.held: dict[Incarnation, dict[bytes, float]] = {}
         self.lock = threading.Lock()
 
-    def watch(self, start: Start, address: str, fingerprint: bytes) -> None:
+    def watch(self, start: Incarnation, address: str, fingerprint: bytes) -> None:
         """Find out whether a start ended, which a request was open at when it broke."""
         at = self.clock.time_of_day()
         with self.lock:
@@ -62,7 +62,7 @@
                 del self.held[start]
             log_state("end_not_settled", instance=start.instance, error=str(error))
 
-    def _settle(self, start: Start, address: str) -> None:
+    def _settle(self, start: Incarnation, address: str) -> None:
         try:
             found, told = self._look_until_settled(start, address)
         finally:
@@ -85,7 +85,7 @@
         """Return the time now, after all that is held also where the time of day was put back."""
         return max(self.clock.time_of_day(), max(held.values()) + AFTER_S)
 
-    def _look_until_settled(self, start: Start, address: str) -> tuple[Settlement, int]:
+    def _look_until_settled(self, start: Incarnation, address: str) -> tuple[Settlement, int]:
         broke_at = self.clock.time_of_day()
         answered_s = None  # seconds since it first answered without a birth
         for pause_s in looks():
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -102,13 +102,13 @@
     def _for_second_try(self, late: Exchange) -> Endpoint | None:
         """Return where a late request goes as well, none if there is nowhere."""
         tries = self.tries
-        used = tries.ran | {late.endpoint.start}
-        pool = self.parts.picture.belief.in_pool(self.pool)
+        used = tries.ran | {late.endpoint.incarnation}
+        pool = self.parts.picture.snapshot.in_pool(self.pool)
         chosen = None
         if len(used) < self.job.route.max_attempts:
             chosen = self.parts.choice.choose(pool, used | tries.rejected, self.now())
         if chosen is None and late.reused:
-            same = [one for one in pool if one.start == late.endpoint.start]
+            same = [one for one in pool if one.incarnation == late.endpoint.incarnation]
             chosen = self.parts.choice.choose(same, (), self.now())
         return chosen
 
@@ -116,7 +116,7 @@
         """Drop what is kept where a kept connection brought nothing and a new one an answer."""
         for late in self.tries.open:
             if late.reused:
-                self.parts.connections.forget_one(late.endpoint.start)
+                self.parts.connections.forget_one(late.endpoint.incarnation)
 
     def _read(self, exchange: Exchange) -> Outcome | None:
         left = max(0.05, min(READ_TIMEOUT_S, self.job.until - self.now()))
@@ -153,7 +153,7 @@
             self.rejected(endpoint, head.status)
             return None
         if head.signature:  # else it may be a front's, for an endpoint that has ended
-            self.holding.answered(endpoint.start)
+            self.holding.answered(endpoint.incarnation)
         unsigned = 200 <= head.status < 300 and not head.signature
         if unsigned or head.status >= 500:
             return self._failed_answer(endpoint, answer, unsigned)
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -38,8 +38,8 @@
     from threadramp.edge.server import CallerRequest
     from threadramp.edge.streaming import StreamForwarder
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.model import Configuration, Route
-    from threadramp.fleet.picture import Picture
     from threadramp.lots.owner import LotOwner
     from threadramp.lots.reading import LotReader
     from threadramp.platform.trainer_calls import LotCall
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        picture: Picture,
+        picture: FleetView,
         forwarder: Forwarder,
         streams: StreamForwarder,
         owner: LotOwner,
@@ -104,7 +104,7 @@
 
     def _serve(self, request: CallerRequest) -> None:
         started = request.arrived
-        configuration = self.picture.belief.configuration
+        configuration = self.picture.snapshot.configuration
         if configuration is None:
             self._refuse(request, 503, START_RETRY_S, "no configuration yet")
             return
@@ -253,7 +253,7 @@
 
     def _serve_call(self, request: CallerRequest, configuration: Configuration) -> None:
         """Answer a call about a lot; one of another organisation is as unknown as any."""
-        public = configuration.takes_lots_of_anybody(request.host)
+        public = configuration.accepts_anonymous_lots(request.host)
         who = self._who(request, configuration, public)
         if who is None:
             return
--- a/src/threadramp/edge/holding.py
+++ b/src/threadramp/edge/holding.py
@@ -11,7 +11,7 @@
 
     from threadramp.edge.crash_guard import CrashGuard
     from threadramp.edge.job import Job
-    from threadramp.fleet.model import Endpoint, Start
+    from threadramp.fleet.model import Endpoint, Incarnation
 
 
 class Holding:
@@ -21,7 +21,7 @@
         self.guard = guard
         self.job = job
         self.admitted = FREE
-        self.place: Start | None = None
+        self.place: Incarnation | None = None
         self.waits = False
 
     def fingerprint(self) -> bytes:
@@ -42,12 +42,12 @@
             return self.admitted
         return self.guard.ruling(self.fingerprint)
 
-    def answered(self, start: Start) -> None:
+    def answered(self, start: Incarnation) -> None:
         """Note an answer after which its endpoint lives on."""
         self.guard.answered(self.fingerprint, start)
 
     def choose(
-        self, pick: Callable[[Set[Start]], Endpoint | None], ruling: Ruling, is_last: bool
+        self, pick: Callable[[Set[Incarnation]], Endpoint | None], ruling: Ruling, is_last: bool
     ) -> Endpoint | None:
         """Return where the request goes, none if others have to leave first.
 
@@ -63,10 +63,10 @@
             return pick(frozenset())
         taken = self.guard.taken()
         while (chosen := pick(taken)) is not None:
-            if self.guard.take_place(chosen.start):
-                self.place = chosen.start
+            if self.guard.take_place(chosen.incarnation):
+                self.place = chosen.incarnation
                 return chosen
-            taken.add(chosen.start)
+            taken.add(chosen.incarnation)
         self.waits = bool(taken)
         return None
 
--- a/src/threadramp/edge/signs.py
+++ b/src/threadramp/edge/signs.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 # All connections to an endpoint that ends break within some ms; threads that wait for a processor
 # notice a little later.
@@ -69,13 +69,13 @@
     """Breaks that are being looked at; their exchanges may still be counted as open."""
 
     def __init__(self) -> None:
-        self.looking: Counter[Start] = Counter()
-        self.counted: Counter[Start] = Counter()
-        self.answered: set[Start] = set()
+        self.looking: Counter[Incarnation] = Counter()
+        self.counted: Counter[Incarnation] = Counter()
+        self.answered: set[Incarnation] = set()
         self.lock = Lock()
 
     @contextmanager
-    def looked_at(self, start: Start, signs: Signs) -> Iterator[None]:
+    def looked_at(self, start: Incarnation, signs: Signs) -> Iterator[None]:
         """Count a request as broken while it is looked at."""
         with self.lock:
             self.looking[start] += 1
@@ -85,13 +85,13 @@
         finally:
             self._looked(start, signs)
 
-    def note_answer(self, start: Start) -> None:
+    def note_answer(self, start: Incarnation) -> None:
         """Note an answer of an endpoint; it counts if a break of it is being looked at."""
         if start in self.looking:
             with self.lock:
                 self.answered.add(start)
 
-    def others_go_on(self, start: Start, signs: Signs) -> bool:
+    def others_go_on(self, start: Incarnation, signs: Signs) -> bool:
         """Return whether other requests stay open or are answered there, after a short wait."""
         until = steady_s() + OTHERS_S
         while signs.open_there() > self.counted[start]:
@@ -100,7 +100,7 @@
             time.sleep(OTHERS_LOOK_S)
         return start in self.answered
 
-    def _looked(self, start: Start, signs: Signs) -> None:
+    def _looked(self, start: Incarnation, signs: Signs) -> None:
         with self.lock:
             self.looking[start] -= 1
             self.counted[start] -= signs.own
--- a/src/threadramp/edge/streaming.py
+++ b/src/threadramp/edge/streaming.py
@@ -104,11 +104,11 @@
         route = self.job.route
         if not self.stream.begun or not route.may_repeat or self.went_back >= GO_BACK_MOST:
             return []
-        pool = self.parts.picture.belief.in_pool(self.pool)
+        pool = self.parts.picture.snapshot.in_pool(self.pool)
         ran = self.tries.ran
         if len(ran) < route.max_attempts and len(pool) > len(ran):
             return []
-        return [one for one in pool if one.start in ran]
+        return [one for one in pool if one.incarnation in ran]
 
     def ended(self, outcome: Outcome) -> Outcome:
         """Return the outcome; a stream that has begun and is not whole is cut."""
@@ -146,7 +146,7 @@
         self.begun(exchange.endpoint, self.now())
         self.stream.begin(response)
         self.stream.pass_events(exchange, response, self._patience_s)
-        self.holding.answered(exchange.endpoint.start)
+        self.holding.answered(exchange.endpoint.incarnation)
         self.parts.keep(exchange, streamed_answer(response))
         self.parts.choice.answered(exchange.endpoint, head.load, self.now())
         return Outcome(Ending.STREAMED)
@@ -157,7 +157,7 @@
         """Take an answer that is no stream: a failure, or one whose endpoint is at fault."""
         answer = exchange.rest(response)
         if head.signature:  # else it may be a front's, for an endpoint that has ended
-            self.holding.answered(exchange.endpoint.start)
+            self.holding.answered(exchange.endpoint.incarnation)
         if 200 <= head.status < 300 and not head.signature:
             raise StreamBrokenError(exchange.endpoint.instance, "no signature")
         if head.status >= 500:
@@ -179,7 +179,7 @@
 
     def _may_go_on_elsewhere(self) -> bool:
         route = self.job.route
-        others = len(self.parts.picture.belief.in_pool(self.pool)) > len(self.tries.ran) + 1
+        others = len(self.parts.picture.snapshot.in_pool(self.pool)) > len(self.tries.ran) + 1
         return route.may_repeat and others and len(self.tries.ran) + 1 < route.max_attempts
 
 
--- a/src/threadramp/edge/tries.py
+++ b/src/threadramp/edge/tries.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from threadramp.edge.exchange import Answer, Exchange
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 
 @dataclass
@@ -24,18 +24,18 @@
     """
 
     open: list[Exchange] = field(default_factory=list)
-    ran: set[Start] = field(default_factory=set)
-    rejected: set[Start] = field(default_factory=set)
-    ended: set[Start] = field(default_factory=set)
-    unreachable: set[Start] = field(default_factory=set)
-    sent_at: dict[Start, float] = field(default_factory=dict)
-    begun_at: dict[Start, float] = field(default_factory=dict)
+    ran: set[Incarnation] = field(default_factory=set)
+    rejected: set[Incarnation] = field(default_factory=set)
+    ended: set[Incarnation] = field(default_factory=set)
+    unreachable: set[Incarnation] = field(default_factory=set)
+    sent_at: dict[Incarnation, float] = field(default_factory=dict)
+    begun_at: dict[Incarnation, float] = field(default_factory=dict)
     may_have_run: bool = False
     rounds: int = 0
     last_failure: Answer | None = None
 
     @property
-    def passed_over(self) -> set[Start]:
+    def passed_over(self) -> set[Incarnation]:
         """Return the endpoints that are not asked now."""
         return self.ran | self.rejected | self.unreachable
 
--- a/src/threadramp/fleet/emptying.py
+++ b/src/threadramp/fleet/box_retirement.py
@@ -16,20 +16,20 @@
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
-    from threadramp.fleet.model import EmptyRequest
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
+    from threadramp.fleet.model import RetireRequest
     from threadramp.platform.store import StoreClient
 
 LOOK_S = 0.5
 TURN_S = 2.0  # the next gateway answers if the one before it did not within this time
 
 
-class Emptying:
+class BoxRetirement:
     """Answers wishes to empty a box, each once."""
 
-    def __init__(self, name: str, picture: Picture, store: StoreClient) -> None:
+    def __init__(self, name: str, fleet_view: FleetView, store: StoreClient) -> None:
         self.name = name
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.store = store
         self.answered: set[tuple[str, int]] = set()
         self.seen: dict[tuple[str, int], int] = {}
@@ -41,16 +41,16 @@
 
     def _run(self) -> None:
         while not self.stopped.wait(LOOK_S):
-            for wish in self.picture.belief.empty_requests:
+            for wish in self.fleet_view.snapshot.retire_requests:
                 self._look_at(wish)
 
-    def _look_at(self, wish: EmptyRequest) -> None:
+    def _look_at(self, wish: RetireRequest) -> None:
         known = (wish.box, wish.revision)
         if known in self.answered:
             return
         looks = self.seen.get(known, 0)
         self.seen[known] = looks + 1
-        gateways = [one.name for one in self.picture.belief.gateways()]
+        gateways = [one.name for one in self.fleet_view.snapshot.gateways()]
         order = rendezvous(wish.box, gateways)
         place = order.index(self.name) if self.name in order else len(order)
         if looks * LOOK_S < place * TURN_S:
@@ -67,9 +67,9 @@
         self.answered.add(known)
         log_state("box_emptied", box=wish.box, revision=wish.revision)
 
-    def _is_answered(self, key: str, wish: EmptyRequest) -> bool:
+    def _is_answered(self, key: str, wish: RetireRequest) -> bool:
         status = self.store.get(key)
         return status is not None and status.revision > wish.revision
 
 
-__all__ = ["Emptying"]
+__all__ = ["BoxRetirement"]
--- a/src/threadramp/fleet/crash_sharing.py
+++ b/src/threadramp/fleet/crash_sharing.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from threadramp.fleet.picture import CRASHES_PREFIX, TRIALS_PREFIX
+from threadramp.fleet.fleet_view import CRASHES_PREFIX, TRIALS_PREFIX
 from threadramp.lots.model import encode
 from threadramp.platform.store_model import (
     ABSENT,
@@ -78,13 +78,13 @@
         self.woken = threading.Event()
         self.stopped = threading.Event()
         book.on_news = self.woken.set
-        peers.picture.members.listeners.append(self.read_kept)
+        peers.fleet_view.members.listeners.append(self.read_kept)
 
     def start(self) -> None:
         """Start telling."""
         start_loop(self._run, self.stopped)
 
-    def heard(self, ask: CrashesTold) -> Done:
+    def receive(self, ask: CrashesTold) -> Done:
         """Take over what another gateway saw."""
         self._merge(ask.news, ask.sender)
         return Done()
@@ -97,7 +97,7 @@
         told = "acquitted" if done else "nothing is held against it"
         return Believed((Fact("request", told, "an operator", None),))
 
-    def claim(self, fingerprint: bytes, trial: int) -> bool:
+    def claim_trial(self, fingerprint: bytes, trial: int) -> bool:
         """Return whether this process may make a trial; of all processes one is told so.
 
         Where the store does not tell, nobody may.
@@ -131,7 +131,7 @@
 
     def read_kept(self) -> None:
         """Take over what other gateways, and this box before its last start, kept in the store."""
-        items = self.peers.picture.members.snapshot()
+        items = self.peers.fleet_view.members.snapshot()
         self._check_listed(self.key in items)
         for key, item in items.items():
             if not key.startswith(CRASHES_PREFIX) or self.read.get(key, 0) >= item.revision:
@@ -168,8 +168,8 @@
 
     def _tell(self, news: CrashNews) -> bool:
         """Tell the other gateways; true if all of them took it."""
-        ask = CrashesTold(*self.peers.myself, news)
-        asks = {one.address: ask for one in self.peers.gateways_lately()}
+        ask = CrashesTold(*self.peers.sender_fields, news)
+        asks = {one.address: ask for one in self.peers.recent_gateways()}
         replies = self.peers.ask_all(asks, TELL_TIMEOUT_S) if asks else {}
         return len(replies) == len(asks)
 
--- a/src/threadramp/fleet/readings.py
+++ b/src/threadramp/fleet/decode_cache.py
@@ -27,7 +27,7 @@
     reason: str
 
 
-class Readings:
+class DecodeCache:
     """The decoded items of one process; not for several threads at once.
 
     An item is decoded when its revision is seen for the first time: the entries of a large fleet
@@ -79,4 +79,4 @@
         log_state(f"{kind}_unreadable", key=item.key, revision=item.revision, error=reason)
 
 
-__all__ = ["Readings", "Unreadable"]
+__all__ = ["DecodeCache", "Unreadable"]
--- a/src/threadramp/fleet/facts.py
+++ b/src/threadramp/fleet/facts.py
@@ -6,51 +6,51 @@
 
 import msgspec
 
-from threadramp.fleet.picture import HOST_ROLE
+from threadramp.fleet.fleet_view import HOST_ROLE
 from threadramp.policy.model_share import is_shared, model_share
 from threadramp.wire.runner import Facts
 
 if TYPE_CHECKING:
     from collections.abc import Set
 
+    from threadramp.fleet.fleet_view import FleetSnapshot, Member
     from threadramp.fleet.model import Endpoint
-    from threadramp.fleet.picture import Belief, Member
 
 
-def facts_for(sidecar: Member, belief: Belief) -> Facts:
+def facts_for(sidecar: Member, snapshot: FleetSnapshot) -> Facts:
     """Return what a sidecar needs to know."""
     facts = Facts(
-        endpoints_revision=belief.endpoints_revision,
-        targets_revision=belief.targets_revision,
-        listed=sidecar.role == HOST_ROLE or sidecar.name in belief.members,
-        sidecars=len(belief.by_role.get("sidecar", ())),
+        endpoints_revision=snapshot.endpoints_revision,
+        targets_revision=snapshot.targets_revision,
+        listed=sidecar.role == HOST_ROLE or sidecar.name in snapshot.members,
+        sidecars=len(snapshot.by_role.get("sidecar", ())),
     )
-    endpoint = belief.at_address(sidecar.endpoint)
-    if endpoint is None or belief.configuration is None:
+    endpoint = snapshot.at_address(sidecar.endpoint)
+    if endpoint is None or snapshot.configuration is None:
         return facts
-    return _with_endpoint(facts, endpoint, belief)
+    return _with_endpoint(facts, endpoint, snapshot)
 
 
-def serves_any(sidecar: Member, models: Set[str], belief: Belief) -> bool:
+def serves_any(sidecar: Member, models: Set[str], snapshot: FleetSnapshot) -> bool:
     """Return whether a sidecar's engine is one that a gateway asks for samples of these models.
 
     In a small pool every engine is asked, in a large one those that keep such a model up to date,
     so that a lot's gateway need not know all engines.
     """
-    endpoint = belief.at_address(sidecar.endpoint)
+    endpoint = snapshot.at_address(sidecar.endpoint)
     if endpoint is None:
         return True  # it may be listed in a moment; until then it takes nothing
-    place = belief.places[endpoint.address]
+    place = snapshot.places[endpoint.address]
     if is_shared(place.engines):
         return True
-    share = model_share(place.rank, place.engines, belief.pool(endpoint.pool).models)
+    share = model_share(place.rank, place.engines, snapshot.pool(endpoint.pool).models)
     return not models.isdisjoint(share.shifts)
 
 
-def _with_endpoint(facts: Facts, endpoint: Endpoint, belief: Belief) -> Facts:
+def _with_endpoint(facts: Facts, endpoint: Endpoint, snapshot: FleetSnapshot) -> Facts:
     """Add what is known of the sidecar's endpoint and its place in its pool."""
-    pool = belief.pool(endpoint.pool)
-    place = belief.places[endpoint.address]
+    pool = snapshot.pool(endpoint.pool)
+    place = snapshot.places[endpoint.address]
     share = model_share(place.rank, place.engines, pool.models)
     return msgspec.structs.replace(
         facts,
@@ -60,7 +60,7 @@
         share=share,
         slots=endpoint.slots or pool.slots,
         memory_tokens=pool.memory_tokens,
-        targets=tuple(one for one in belief.targets if one.model in share.shifts),
+        targets=tuple(one for one in snapshot.targets if one.model in share.shifts),
     )
 
 
--- a/src/threadramp/fleet/rights.py
+++ b/src/threadramp/fleet/fenced_lock.py
@@ -33,11 +33,13 @@
     from threadramp.platform.store import StoreClient
     from threadramp.platform.store_model import Item
 
-AGAIN_S = 1.0  # after the store did not answer, or the right is another's
-PROVEN_S = 1.0  # for which the store's word counts, from when it was asked; it answers in ms
+RETRY_INTERVAL_S = 1.0  # after the store did not answer, or the right is another's
+VERIFICATION_TTL_S = (
+    1.0  # for which the store's word counts, from when it was asked; it answers in ms
+)
 
 
-class HeldRight(msgspec.Struct, frozen=True, array_like=True):
+class LockRecord(msgspec.Struct, frozen=True, array_like=True):
     """Who holds a right, as the store has it.
 
     :param holder: name of the box, empty if it was given up
@@ -50,7 +52,7 @@
     shared: bool = False
 
 
-class Right:
+class FencedLock:
     """The right of one process to what a key of the store stands for.
 
     :param holder: name of the box
@@ -64,48 +66,48 @@
         store: StoreClient,
         key: str,
         holder: str,
-        hand_over_s: float,
+        takeover_delay_s: float,
         clock: Clock,
         may_take: Callable[[str | None], bool] = lambda holder: True,
     ) -> None:
         self.store = store
         self.key = key
         self.holder = holder
-        self.hand_over_s = hand_over_s
+        self.takeover_delay_s = takeover_delay_s
         self.clock = clock
         self.may_take = may_take
-        self.number = 0
+        self.fencing_token = 0
         self.waits = False
-        self.shared = False
+        self.had_previous_holder = False
         self.doubted = False
         self.first_use_at = 0.0
         self.ask_again_at = 0.0
         self.shown_at = float("-inf")
 
-    def shown_ago_s(self) -> float:
+    def verified_ago_s(self) -> float:
         """Return the seconds since the store was asked that showed the right to be ours."""
         return self.clock.now() - self.shown_at
 
-    def still_proven(self) -> bool:
+    def is_verified(self) -> bool:
         """Return whether the last proof holds yet; to be asked right before bytes are sent."""
-        usable = bool(self.number) and not self.waits and not self.doubted
-        return usable and self.shown_ago_s() <= PROVEN_S
+        usable = bool(self.fencing_token) and not self.waits and not self.doubted
+        return usable and self.verified_ago_s() <= VERIFICATION_TTL_S
 
-    def doubt(self) -> None:
+    def invalidate(self) -> None:
         """Take note that another process may hold it by now."""
         self.doubted = True
 
-    def proven_number(self) -> int:
+    def verified_token(self) -> int:
         """Return the number under which to act now, 0 if there is none.
 
         The store is asked each time, and its answer counts only while it is young.
         """
         if not self.waits:
-            self.doubt()
-        number = self.usable_number()
-        return number if self.still_proven() else 0
+            self.invalidate()
+        number = self.cached_token()
+        return number if self.is_verified() else 0
 
-    def usable_number(self) -> int:
+    def cached_token(self) -> int:
         """Return the number by what is known, 0 if it may not be used; no proof to act by."""
         now = self.clock.now()
         if now < max(self.ask_again_at, self.first_use_at if self.waits else 0.0):
@@ -113,26 +115,26 @@
         try:
             if self.waits:
                 self._end_wait()
-            elif not self.number or self.doubted:
+            elif not self.fencing_token or self.doubted:
                 self._look()
         except StoreError as error:
             log_state("right_unknown", right=self.key, error=str(error))
             self.doubted = True
-            self.ask_again_at = now + AGAIN_S
+            self.ask_again_at = now + RETRY_INTERVAL_S
             return 0
-        return 0 if self.waits else self.number
+        return 0 if self.waits else self.fencing_token
 
-    def give_to(self, heir: str) -> None:
+    def transfer_to(self, heir: str) -> None:
         """Let another box hold it, which uses it once it has waited as after any holder.
 
         :param heir: name of the box, empty if whoever finds it may take it
         :raises StoreError: if that is not known to be kept
         """
-        number, self.number = self.number, 0
+        number, self.fencing_token = self.fencing_token, 0
         self.waits = False
         if not number:
             return
-        held = HeldRight(heir, waits=True, shared=True)
+        held = LockRecord(heir, waits=True, shared=True)
         transaction = Transaction({self.key: number}, (self._put(held),))
         self.store.transact(transaction, repeatable=True)
         log_state("right_given", right=self.key, number=number, to=heir)
@@ -144,14 +146,14 @@
         """
         self.doubted = False
         asked_at = self.clock.now()
-        if self.number:
+        if self.fencing_token:
             found = self.store.get(self.key)
         elif self.may_take(None):
             found = self._take(ABSENT, "")
-            if self.number:
+            if self.fencing_token:
                 return
         else:
-            self.ask_again_at = self.clock.now() + AGAIN_S
+            self.ask_again_at = self.clock.now() + RETRY_INTERVAL_S
             return
         if self._is_ours(found, asked_at):
             return
@@ -180,7 +182,7 @@
         """
         asked_at = self.clock.now()
         was_there = revision != ABSENT  # else nobody ever held it
-        held = HeldRight(self.holder, waits=was_there, shared=was_there)
+        held = LockRecord(self.holder, waits=was_there, shared=was_there)
         transaction = Transaction({self.key: revision}, (self._put(held),))
         # Done twice, the second time finds this holder.
         answer = self.store.transact(transaction, repeatable=True)
@@ -201,53 +203,53 @@
         """
         self.doubted = False
         asked_at = self.clock.now()
-        held = HeldRight(self.holder, waits=False, shared=True)
-        transaction = Transaction({self.key: self.number}, (self._put(held),))
+        held = LockRecord(self.holder, waits=False, shared=True)
+        transaction = Transaction({self.key: self.fencing_token}, (self._put(held),))
         answer = self.store.transact(transaction, repeatable=True)
         if isinstance(answer, Committed):
             self._note(answer.revision, held, asked_at)
             return
         self._is_ours(answer.current.get(self.key), asked_at)  # or its answer was lost before
 
-    def _put(self, held: HeldRight) -> Put:
+    def _put(self, held: LockRecord) -> Put:
         return Put(self.key, msgspec.msgpack.encode(held))
 
-    def _note(self, number: int, held: HeldRight, asked_at: float) -> None:
+    def _note(self, number: int, held: LockRecord, asked_at: float) -> None:
         """Note that it is held; a wait counts from now.
 
         :param asked_at: when the store was asked that showed it
         """
         self.shown_at = asked_at
-        if number == self.number:
+        if number == self.fencing_token:
             return
-        self.number = number
+        self.fencing_token = number
         self.waits = held.waits
-        self.shared = held.shared
+        self.had_previous_holder = held.shared
         self.ask_again_at = 0.0
-        self.first_use_at = self.clock.now() + self.hand_over_s
-        wait_s = self.hand_over_s if held.waits else 0.0
+        self.first_use_at = self.clock.now() + self.takeover_delay_s
+        wait_s = self.takeover_delay_s if held.waits else 0.0
         log_state("right", right=self.key, number=number, wait_s=wait_s)
 
-    def _lost(self, held: HeldRight | None) -> None:
-        if self.number:
+    def _lost(self, held: LockRecord | None) -> None:
+        if self.fencing_token:
             holder = held.holder if held is not None else ""
-            log_state("right_lost", right=self.key, number=self.number, holder=holder)
-        self.number = 0
+            log_state("right_lost", right=self.key, number=self.fencing_token, holder=holder)
+        self.fencing_token = 0
         self.waits = False
-        self.ask_again_at = self.clock.now() + AGAIN_S
+        self.ask_again_at = self.clock.now() + RETRY_INTERVAL_S
 
 
-def _read(found: Item | None) -> HeldRight | None:
-    return None if found is None else read_right(found.value)
+def _read(found: Item | None) -> LockRecord | None:
+    return None if found is None else decode_lock_record(found.value)
 
 
-def read_right(value: bytes) -> HeldRight | None:
+def decode_lock_record(value: bytes) -> LockRecord | None:
     """Return who holds a right, none if nobody can tell; then it is taken over as from another."""
     try:
-        return msgspec.msgpack.decode(value, type=HeldRight)
+        return msgspec.msgpack.decode(value, type=LockRecord)
     except msgspec.DecodeError as error:
         log_state("right_unreadable", error=str(error))
         return None
 
 
-__all__ = ["PROVEN_S", "HeldRight", "Right", "read_right"]
+__all__ = ["VERIFICATION_TTL_S", "LockRecord", "FencedLock", "decode_lock_record"]
--- a/src/threadramp/fleet/picture.py
+++ b/src/threadramp/fleet/fleet_view.py
@@ -9,17 +9,17 @@
 
 import msgspec
 
-from threadramp.fleet.latest_starts import LatestStarts
+from threadramp.fleet.decode_cache import DecodeCache
+from threadramp.fleet.latest_incarnations import LatestIncarnations
 from threadramp.fleet.mirror import Mirror
 from threadramp.fleet.model import (
     Configuration,
-    EmptyRequest,
     Endpoint,
     Pool,
+    RetireRequest,
     WeightTarget,
-    current_starts,
+    newest_by_address,
 )
-from threadramp.fleet.readings import Readings
 from threadramp.platform.documents import (
     CONFIGURATION_KEY,
     EMPTY_PREFIX,
@@ -41,10 +41,10 @@
 
 MEMBER_PREFIX = "member/"
 # What gateways keep beside the list of members, so that it is listed and watched with it.
-NO_MEMBERS_PREFIX = MEMBER_PREFIX + "."
-CRASHES_PREFIX = NO_MEMBERS_PREFIX + "crashes/"  # by box: under which requests endpoints ended
-DUTIES_KEY = NO_MEMBERS_PREFIX + "duties"  # which gateway holds the duties of the fleet
-TRIALS_PREFIX = NO_MEMBERS_PREFIX + "trials/"  # by request and number: which box makes a trial
+NON_MEMBER_PREFIX = MEMBER_PREFIX + "."
+CRASHES_PREFIX = NON_MEMBER_PREFIX + "crashes/"  # by box: under which requests endpoints ended
+DUTIES_KEY = NON_MEMBER_PREFIX + "duties"  # which gateway holds the duties of the fleet
+TRIALS_PREFIX = NON_MEMBER_PREFIX + "trials/"  # by request and number: which box makes a trial
 ROLES_LISTED = ("gateway", "sidecar")
 FAULTS_SHOWN = 20  # in one line
 HOST_ROLE = "host"  # of a gateway that stands in for a sidecar; it is listed as what it is
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True)
-class Belief:
+class FleetSnapshot:
     """One consistent view; replaced as a whole."""
 
     configuration: Configuration | None = None
@@ -90,7 +90,7 @@
     members: dict[str, Member] = field(default_factory=dict)
     targets: tuple[WeightTarget, ...] = ()
     targets_revision: int = 0
-    empty_requests: tuple[EmptyRequest, ...] = ()
+    retire_requests: tuple[RetireRequest, ...] = ()
     endpoints_revision: int = 0
 
     def newest_version(self, model: str) -> int:
@@ -144,17 +144,17 @@
         return {role: tuple(row) for role, row in rows.items()}
 
 
-class Picture:
+class FleetView:
     """Builds a belief from the mirrors whenever one of them changes."""
 
     def __init__(self) -> None:
         self.operator = Mirror(OPERATOR_PREFIX, holds_lapsed=False)
         self.endpoints = Mirror(ENDPOINT_PREFIX, holds_lapsed=True)
         self.members = Mirror(MEMBER_PREFIX, holds_lapsed=True)
-        self.belief = Belief()
+        self.snapshot = FleetSnapshot()
         self.changed = threading.Condition()
-        self.readings = Readings()
-        self.starts = LatestStarts()
+        self.decode_cache = DecodeCache()
+        self.starts = LatestIncarnations()
         self.of_no_pool: dict[str, int] = {}
         self.doubted: dict[str, float] = {}
         self.lock = threading.Lock()
@@ -169,7 +169,7 @@
     @property
     def is_complete(self) -> bool:
         """Return whether requests can be routed."""
-        return self.belief.configuration is not None and self.endpoints.known
+        return self.snapshot.configuration is not None and self.endpoints.is_loaded
 
     def configuration_age_s(self, now: float) -> float:
         """Return the seconds since the store showed, also to a peer, that no newer one stood."""
@@ -177,31 +177,31 @@
 
     def _rebuild(self) -> None:
         with self.lock:
-            old = self.belief
-            self.belief = self._build()
-            _log_changes(old, self.belief)
+            old = self.snapshot
+            self.snapshot = self._build()
+            _log_changes(old, self.snapshot)
             self._log_doubts()
         with self.changed:
             self.changed.notify_all()
 
-    def _build(self) -> Belief:
+    def _build(self) -> FleetSnapshot:
         operator = self.operator.snapshot()
-        self.readings.keep_only(OPERATOR_PREFIX, operator)
+        self.decode_cache.keep_only(OPERATOR_PREFIX, operator)
         configuration = self._configuration(operator.get(CONFIGURATION_KEY))
         targets = self._documents_under(WEIGHTS_PREFIX, operator, _read_target)
-        return Belief(
+        return FleetSnapshot(
             configuration=configuration,
             endpoints=self._endpoints(configuration),
             members=self._members(),
             targets=tuple(targets),
             targets_revision=max((target.revision for target in targets), default=0),
-            empty_requests=tuple(self._documents_under(EMPTY_PREFIX, operator, _read_empty)),
+            retire_requests=tuple(self._documents_under(EMPTY_PREFIX, operator, _read_empty)),
             endpoints_revision=self.endpoints.revision,
         )
 
     def _log_doubts(self) -> None:
         """Log entries that are believed a while longer though the store lacks them now."""
-        found = self.endpoints.doubted() | self.members.doubted()
+        found = self.endpoints.retained() | self.members.retained()
         for key in found.keys() - self.doubted.keys():
             log_state("removal_doubted", key=key, until=round(found[key], 3))
         self.doubted = found
@@ -211,7 +211,7 @@
     ) -> list[Any]:
         """Return the operators' documents under a prefix; of one that is spoiled the last good."""
         rows = [
-            self.readings.read_or_last("document", item, decode)
+            self.decode_cache.read_or_last("document", item, decode)
             for key, item in sorted(items.items())
             if key.startswith(prefix)
         ]
@@ -220,15 +220,15 @@
     def _configuration(self, item: Item | None) -> Configuration | None:
         found = None
         if item is not None:
-            found = self.readings.read_or_last("configuration", item, self._read_configuration)
-        return found if found is not None else self.belief.configuration
+            found = self.decode_cache.read_or_last("configuration", item, self._read_configuration)
+        return found if found is not None else self.snapshot.configuration
 
     def _read_configuration(self, item: Item) -> Configuration:
-        return read_configuration(item.value, self.belief.configuration)
+        return read_configuration(item.value, self.snapshot.configuration)
 
     def _endpoints(self, configuration: Configuration | None) -> dict[str, Endpoint]:
         items = self.endpoints.snapshot()
-        self.readings.keep_only(ENDPOINT_PREFIX, items)
+        self.decode_cache.keep_only(ENDPOINT_PREFIX, items)
         self.of_no_pool = {
             name: revision
             for name, revision in self.of_no_pool.items()
@@ -236,10 +236,10 @@
         }
         found = []
         for item in items.values():
-            endpoint = self.readings.read("endpoint", item, _read_endpoint)
+            endpoint = self.decode_cache.read("endpoint", item, _read_endpoint)
             if endpoint is not None and self._is_served(endpoint, configuration):
                 found.append(endpoint)
-        return current_starts(self.starts.current(found))
+        return newest_by_address(self.starts.current(found))
 
     def _is_served(self, endpoint: Endpoint, configuration: Configuration | None) -> bool:
         """Return whether an entry names a pool of ours; one of no pool would hide a true entry.
@@ -251,7 +251,7 @@
             return True
         if self.of_no_pool.get(endpoint.instance) != endpoint.revision:
             self.of_no_pool[endpoint.instance] = endpoint.revision
-            self.readings.on_unreadable("endpoint")
+            self.decode_cache.on_unreadable("endpoint")
             log_state(
                 "endpoint_of_no_pool",
                 instance=endpoint.instance,
@@ -262,11 +262,11 @@
 
     def _members(self) -> dict[str, Member]:
         items = self.members.snapshot()
-        self.readings.keep_only(MEMBER_PREFIX, items)
+        self.decode_cache.keep_only(MEMBER_PREFIX, items)
         rows = [
-            self.readings.read("member", item, read_member)
+            self.decode_cache.read("member", item, read_member)
             for key, item in items.items()
-            if not key.startswith(NO_MEMBERS_PREFIX)
+            if not key.startswith(NON_MEMBER_PREFIX)
         ]
         return {row.name: row for row in rows if row is not None}
 
@@ -296,11 +296,11 @@
     return read_weight_target(item.value, item.revision)
 
 
-def _read_empty(item: Item) -> EmptyRequest:
+def _read_empty(item: Item) -> RetireRequest:
     return read_empty_request(item.key, item.value, item.revision)
 
 
-def _log_changes(old: Belief, new: Belief) -> None:
+def _log_changes(old: FleetSnapshot, new: FleetSnapshot) -> None:
     """Log what this process believes differently now."""
     if new.configuration is not old.configuration and new.configuration is not None:
         _log_configuration(new.configuration)
@@ -348,9 +348,9 @@
     "HOST_ROLE",
     "MEMBER_PREFIX",
     "TRIALS_PREFIX",
-    "Belief",
+    "FleetSnapshot",
     "Member",
-    "Picture",
+    "FleetView",
     "Place",
     "read_member",
 ]
--- a/src/threadramp/fleet/latest_starts.py
+++ b/src/threadramp/fleet/latest_incarnations.py
@@ -15,7 +15,7 @@
 IDS_MOST = 8192  # three times the endpoints of the target size
 
 
-class LatestStarts:
+class LatestIncarnations:
     """Keeps a start that is over from coming back in the place of the one that followed it.
 
     A process that was cut off or slow may still write its entry once behind the next start, and
@@ -42,7 +42,7 @@
 
     def _newest(self, endpoint: Endpoint) -> Endpoint | None:
         known = self.latest.get(endpoint.instance)
-        if known is not None and endpoint.start.is_older_than(known.start):
+        if known is not None and endpoint.incarnation.started_before(known.incarnation):
             self._tell(endpoint, known)
             return known if known.instance in self.listed else None
         self.latest[endpoint.instance] = endpoint
@@ -66,4 +66,4 @@
         )
 
 
-__all__ = ["LatestStarts"]
+__all__ = ["LatestIncarnations"]
--- a/src/threadramp/fleet/membership.py
+++ b/src/threadramp/fleet/membership.py
@@ -5,7 +5,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.fleet.picture import MEMBER_PREFIX
+from threadramp.fleet.fleet_view import MEMBER_PREFIX
 from threadramp.lots.model import encode
 from threadramp.platform.store_model import LeaseGone, Put, StoreError, Transaction
 from threadramp.policy.renewals import LEASE_RENEWALS, LEAST_S
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
     from threadramp.platform.store import StoreClient
 
 LEASE_S = 3.0  # the shortest: a dead process is noticed after this
@@ -41,7 +41,7 @@
         """Start registering."""
         start_loop(self._run, self.stopped)
 
-    def not_listed(self) -> None:
+    def mark_unlisted(self) -> None:
         """Take note that the list of members lacks this one: it is written again."""
         self.unlisted.set()
         self.woken.set()
--- a/src/threadramp/fleet/mirror.py
+++ b/src/threadramp/fleet/mirror.py
@@ -32,7 +32,7 @@
         self.lapsed: dict[str, float] = {}
         self.told: dict[str, tuple[str, float]] = {}
         self.revision = 0
-        self.known = False
+        self.is_loaded = False
         self.disturbed_until = 0.0
         self.current_at = float("-inf")
         self.lock = threading.Lock()
@@ -44,7 +44,7 @@
         :param source: who told it
         """
         with self.lock:
-            if self.known and listing.revision < self.revision:
+            if self.is_loaded and listing.revision < self.revision:
                 return False
             found = {item.key: item for item in listing.items}
             for key in [key for key in self.items if key not in found]:
@@ -52,7 +52,7 @@
             for item in listing.items:
                 self._put(item, now, source)
             self.revision = max(self.revision, listing.revision)
-            self.known = True
+            self.is_loaded = True
         self._tell()
         return True
 
@@ -103,7 +103,7 @@
         with self.lock:
             return dict(self.items)
 
-    def doubted(self) -> dict[str, float]:
+    def retained(self) -> dict[str, float]:
         """Return until when items that went are still believed, by key."""
         with self.lock:
             return dict(self.lapsed)
@@ -114,7 +114,7 @@
             items = tuple(item for key, item in self.items.items() if key not in self.lapsed)
             return Listing(items, self.revision)
 
-    def learned(self, key: str) -> tuple[str, float | None]:
+    def source_of(self, key: str) -> tuple[str, float | None]:
         """Return who told what is believed of a key, and when; nobody and none if it is unknown."""
         with self.lock:
             return self.told.get(key, ("", None))
--- a/src/threadramp/fleet/model.py
+++ b/src/threadramp/fleet/model.py
@@ -91,8 +91,8 @@
     :param boot_s: until an endpoint that was ordered serves
     """
 
-    least: int
-    most: int
+    min_replicas: int
+    max_replicas: int
     boot_s: float
 
 
@@ -129,7 +129,7 @@
                 best = route
         return best
 
-    def takes_lots_of_anybody(self, host: str) -> bool:
+    def accepts_anonymous_lots(self, host: str) -> bool:
         """Return whether a host has a public route for lots, so that some belong to nobody."""
         return any(
             route.public and route.kind is RouteKind.SAMPLES and route.host == host
@@ -137,7 +137,7 @@
         )
 
 
-class Start(NamedTuple):
+class Incarnation(NamedTuple):
     """One start of an endpoint; what was learned of it holds for no other one.
 
     The same id may come back with another start, which knows nothing of the one before.
@@ -149,7 +149,7 @@
     instance: str
     born: int = 0
 
-    def is_older_than(self, other: Start) -> bool:
+    def started_before(self, other: Incarnation) -> bool:
         """Return whether both tell when they started, and this one did so before."""
         return 0 < self.born < other.born
 
@@ -174,11 +174,11 @@
     born: int = 0
 
     @property
-    def start(self) -> Start:
+    def incarnation(self) -> Incarnation:
         """Return which start it is; all that is remembered of an endpoint is kept by this."""
-        return Start(self.instance, self.born)
+        return Incarnation(self.instance, self.born)
 
-    def is_before(self, other: Endpoint) -> bool:
+    def is_superseded_by(self, other: Endpoint) -> bool:
         """Return whether another start at the same place came after this one.
 
         By when they started, where both tell; a start that is over may write once more behind the
@@ -189,7 +189,7 @@
         return self.revision < other.revision
 
 
-def current_starts(endpoints: Iterable[Endpoint]) -> dict[str, Endpoint]:
+def newest_by_address(endpoints: Iterable[Endpoint]) -> dict[str, Endpoint]:
     """Return endpoints by instance, of each address only the newest start.
 
     The entry of a start that is over stays for some heartbeats beside that of the next one.
@@ -197,7 +197,7 @@
     newest: dict[str, Endpoint] = {}
     for endpoint in endpoints:
         held = newest.get(endpoint.address)
-        if held is None or held.is_before(endpoint):
+        if held is None or held.is_superseded_by(endpoint):
             newest[endpoint.address] = endpoint
     return {endpoint.instance: endpoint for endpoint in newest.values()}
 
@@ -215,7 +215,7 @@
 
 
 @dataclass(frozen=True)
-class EmptyRequest:
+class RetireRequest:
     """The operator wants a box emptied."""
 
     box: str
@@ -227,13 +227,13 @@
     "Autoscale",
     "CallerLimits",
     "Configuration",
-    "EmptyRequest",
+    "RetireRequest",
     "Endpoint",
     "Pool",
     "PoolShare",
     "Route",
     "RouteKind",
-    "Start",
+    "Incarnation",
     "WeightTarget",
-    "current_starts",
+    "newest_by_address",
 ]
--- a/src/threadramp/fleet/peers.py
+++ b/src/threadramp/fleet/peers.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from threadramp.fleet.facts import facts_for, serves_any
-from threadramp.fleet.following import Following
-from threadramp.fleet.lately import Lately
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
+from threadramp.fleet.mirror_sync import ALL_SEEN, MirrorSync
+from threadramp.fleet.recent_members import RecentMembers
 from threadramp.fleet.relaying import in_turn, relay_through
-from threadramp.fleet.sharing import ALL_SEEN, MirrorSharing
-from threadramp.fleet.silence import Silence
+from threadramp.fleet.unresponsive_gateways import UnresponsiveGateways
+from threadramp.fleet.watch_delegation import WatchDelegation
 from threadramp.policy.routing import rendezvous
 from threadramp.report.guard import start_loop
 from threadramp.wire.fleet import Beat, CallStore, MirrorBeat, MirrorChanges, MirrorCopy
@@ -20,7 +20,7 @@
     from collections.abc import Callable, Set
 
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.store_health import StoreHealth
     from threadramp.platform.store_model import Call, Changes, Listing, RawAnswer
     from threadramp.wire.fleet import AnyAsk, AnyReply
@@ -42,30 +42,30 @@
     def __init__(
         self,
         member: Member,
-        picture: Picture,
+        fleet_view: FleetView,
         client: SyncClient,
         health: StoreHealth,
         clock: Clock,
     ) -> None:
         self.member = member
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.client = client
         self.health = health
         self.clock = clock
-        self.heard: dict[str, float] = {}
-        self.silence = Silence()
-        self.sidecars_lately = Lately(REMEMBERED_S)
-        self.other_gateways_lately = Lately(GATEWAY_REMEMBERED_S)
+        self.last_reply_at: dict[str, float] = {}
+        self.unresponsive = UnresponsiveGateways()
+        self.sidecars_lately = RecentMembers(REMEMBERED_S)
+        self.other_gateways_lately = RecentMembers(GATEWAY_REMEMBERED_S)
         self.stopped = threading.Event()
         self.on_unlisted: Callable[[], None] = lambda: None
-        self.list_members: Callable[[], Listing] = lambda: picture.members.copy()
+        self.list_members: Callable[[], Listing] = lambda: fleet_view.members.copy()
         self.unlisted_since: float | None = None
-        self.sharing = MirrorSharing(picture, health, clock)
-        self.following = Following(member, picture, health, clock)
-        picture.members.listeners.append(self._members_changed)
+        self.mirror_sync = MirrorSync(fleet_view, health, clock)
+        self.watch_delegation = WatchDelegation(member, fleet_view, health, clock)
+        fleet_view.members.listeners.append(self._members_changed)
 
     @property
-    def myself(self) -> tuple[str, str]:
+    def sender_fields(self) -> tuple[str, str]:
         """Return the sender's fields of what is asked."""
         return (self.member.name, self.member.address)
 
@@ -82,14 +82,14 @@
         """Ask one peer; none if it did not answer in time."""
         reply = self.client.ask(address, ask, timeout_s)
         if reply is not None:
-            self.heard[address] = self.clock.now()
+            self.last_reply_at[address] = self.clock.now()
         return reply
 
     def ask_all(self, asks: dict[str, AnyAsk], timeout_s: float) -> dict[str, AnyReply]:
         """Ask several peers at once; those that did not answer are not in the result."""
         replies = self.client.exchange(asks, timeout_s)
         now = self.clock.now()
-        self.heard.update(dict.fromkeys(replies, now))
+        self.last_reply_at.update(dict.fromkeys(replies, now))
         return replies
 
     def ask_members(
@@ -106,20 +106,22 @@
         for (member, _), reply in zip(asks, replies, strict=True):
             if reply is not None:
                 found[member.name] = reply
-                self.heard[member.address] = now
+                self.last_reply_at[member.address] = now
         return found
 
     def gateways(self) -> list[Member]:
         """Return the other gateways, those that were heard lately first."""
-        others = [one for one in self.picture.belief.gateways() if one.name != self.member.name]
-        others.sort(key=lambda one: -self.heard.get(one.address, 0.0))
+        others = [
+            one for one in self.fleet_view.snapshot.gateways() if one.name != self.member.name
+        ]
+        others.sort(key=lambda one: -self.last_reply_at.get(one.address, 0.0))
         return others
 
-    def gateways_lately(self) -> list[Member]:
+    def recent_gateways(self) -> list[Member]:
         """Return the other gateways that are listed, and those that were or answered lately."""
         now = self.clock.now()
         self.other_gateways_lately.note(self.gateways(), now)
-        return self.other_gateways_lately.known(self.heard, now)
+        return self.other_gateways_lately.known(self.last_reply_at, now)
 
     def live_gateways(self) -> list[Member]:
         """Return the gateways that are listed and not silent, this one among them.
@@ -127,8 +129,8 @@
         For the question whose lots lie idle: their owner's entry may outlast it by seconds, and by
         a whole outage of the store. Taking a lot over from one that lives does no harm.
         """
-        listed = self.picture.belief.gateways()
-        live = [one for one in listed if not self.silence.is_silent(one)]
+        listed = self.fleet_view.snapshot.gateways()
+        live = [one for one in listed if not self.unresponsive.is_unresponsive(one)]
         return live if any(one.name == self.member.name for one in live) else [*live, self.member]
 
     def sidecars(self) -> list[Member]:
@@ -137,42 +139,44 @@
         A sidecar may lose its place in the list without being told; it learns that from us.
         """
         now = self.clock.now()
-        self.sidecars_lately.note(self.picture.belief.sidecars(), now)
-        return self.sidecars_lately.known(self.heard, now)
+        self.sidecars_lately.note(self.fleet_view.snapshot.sidecars(), now)
+        return self.sidecars_lately.known(self.last_reply_at, now)
 
     def sidecars_for(self, models: Set[str]) -> list[Member]:
         """Return the sidecars whose engines are asked for samples of these models."""
-        belief = self.picture.belief
-        return [one for one in self.sidecars() if serves_any(one, models, belief)]
+        snapshot = self.fleet_view.snapshot
+        return [one for one in self.sidecars() if serves_any(one, models, snapshot)]
 
-    def relist_members(self) -> None:
+    def reload_members(self) -> None:
         """Read the list of members from the store itself.
 
         :raises StoreError: if no answer came
         """
         listing = self.list_members()
-        self.picture.members.replace(listing, self.clock.now())
+        self.fleet_view.members.replace(listing, self.clock.now())
 
     def relay(self, call: Call) -> RawAnswer | None:
         """Pass a call to the store through a peer."""
-        ask = CallStore(*self.myself, call)
-        return relay_through(self.ways_to_the_store(), ask, self.ask)
+        ask = CallStore(*self.sender_fields, call)
+        return relay_through(self.relay_addresses(), ask, self.ask)
 
-    def ways_to_the_store(self) -> list[str]:
+    def relay_addresses(self) -> list[str]:
         """Return the addresses of peers that may have a way, those that were heard lately first."""
-        sidecars = sorted(self.sidecars(), key=lambda one: -self.heard.get(one.address, 0.0))
+        sidecars = sorted(
+            self.sidecars(), key=lambda one: -self.last_reply_at.get(one.address, 0.0)
+        )
         return in_turn([one.address for one in self.gateways()], [one.address for one in sidecars])
 
     def facts_for(self, sidecar: Member) -> Facts:
         """Return what a sidecar needs to know."""
-        return facts_for(sidecar, self.picture.belief)
+        return facts_for(sidecar, self.fleet_view.snapshot)
 
-    def spread(self, prefix: str, after: int, changes: Changes) -> None:
+    def push_changes(self, prefix: str, after: int, changes: Changes) -> None:
         """Tell the gateways that follow this one what changed after a revision."""
         ask = MirrorChanges(
-            *self.myself, prefix, after, changes.revision, changes.items, changes.removals
+            *self.sender_fields, prefix, after, changes.revision, changes.items, changes.removals
         )
-        asks = {one.address: ask for one in self.following.followers()}
+        asks = {one.address: ask for one in self.watch_delegation.followers()}
         if asks:
             self.ask_all(asks, BEAT_TIMEOUT_S)
 
@@ -182,19 +186,19 @@
     def _run(self) -> None:
         while not self.stopped.wait(BEAT_S):
             now = self.clock.now()
-            for mirror in self.picture.mirrors:
+            for mirror in self.fleet_view.mirrors:
                 mirror.expire(now)
             self._check_listed(now)
             self._beat_sidecars()
             self._beat_gateways()
-            self.following.follows()  # watches ask only between two answers of the store
+            self.watch_delegation.follows()  # watches ask only between two answers of the store
 
     def _beat_sidecars(self) -> None:
-        gateways = [one.name for one in self.picture.belief.gateways()]
+        gateways = [one.name for one in self.fleet_view.snapshot.gateways()]
         asks = {}
         for sidecar in self.sidecars():
             if self.member.name in rendezvous(sidecar.name, gateways)[:BEATERS]:
-                asks[sidecar.address] = Beat(*self.myself, self.facts_for(sidecar))
+                asks[sidecar.address] = Beat(*self.sender_fields, self.facts_for(sidecar))
         self.ask_all(asks, BEAT_TIMEOUT_S)
 
     def _beat_gateways(self) -> None:
@@ -202,12 +206,12 @@
         asked = self._beaten()
         asked_at = self.clock.now()
         replies = self.ask_all({one.address: self._beat_for(one) for one in asked}, BEAT_TIMEOUT_S)
-        self.silence.note(asked, set(replies), self.picture.belief.gateways())
+        self.unresponsive.note(asked, set(replies), self.fleet_view.snapshot.gateways())
         for member in asked:
             reply = replies.get(member.address)
             if isinstance(reply, MirrorCopy):
-                self.following.note(member.name, reply.confirmed_ago_s)
-                self.sharing.take_over(reply, member.name, asked_at)
+                self.watch_delegation.note(member.name, reply.confirmed_ago_s)
+                self.mirror_sync.take_over(reply, member.name, asked_at)
 
     def _beat_for(self, member: Member) -> MirrorBeat:
         """Return the question for a gateway.
@@ -216,10 +220,18 @@
         it is ahead by some tenths of a second half of the time, and would send whole copies from
         one data centre to another.
         """
-        stands_in = member.data_centre != self.data_centre and member in self.following.leaders()
-        if stands_in and not self.health.is_away and self.following.hears_at_once():
-            return MirrorBeat(*self.myself, dict.fromkeys(self.sharing.revisions(), ALL_SEEN))
-        return MirrorBeat(*self.myself, self.sharing.revisions())
+        stands_in = (
+            member.data_centre != self.data_centre and member in self.watch_delegation.leaders()
+        )
+        if (
+            stands_in
+            and not self.health.is_away
+            and self.watch_delegation.receives_pushed_changes()
+        ):
+            return MirrorBeat(
+                *self.sender_fields, dict.fromkeys(self.mirror_sync.revisions(), ALL_SEEN)
+            )
+        return MirrorBeat(*self.sender_fields, self.mirror_sync.revisions())
 
     def _beaten(self) -> list[Member]:
         """Return the gateways that are asked this time, those that this one follows among them."""
@@ -227,14 +239,17 @@
         if self.health.is_away:
             return others
         longest_unheard = others[-GATEWAYS_A_BEAT:]
-        if self.following.is_watcher():
+        if self.watch_delegation.is_watcher():
             return longest_unheard
-        asked = [*longest_unheard, *self.following.leaders()]
+        asked = [*longest_unheard, *self.watch_delegation.leaders()]
         return list({one.name: one for one in asked}.values())  # each once
 
     def _check_listed(self, now: float) -> None:
         """Notice when the list of members lacks this process for a while."""
-        if not self.picture.members.known or self.member.name in self.picture.belief.members:
+        if (
+            not self.fleet_view.members.is_loaded
+            or self.member.name in self.fleet_view.snapshot.members
+        ):
             self.unlisted_since = None
             return
         if self.unlisted_since is None:
--- a/src/threadramp/fleet/lately.py
+++ b/src/threadramp/fleet/recent_members.py
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
 
 
-class Lately:
+class RecentMembers:
     """Remembers members for a while; its methods may be called from any thread.
 
     :param kept_s: after the last listing or answer, whichever is later
@@ -54,4 +54,4 @@
             return [self.members[name] for name in sorted(self.members)]
 
 
-__all__ = ["Lately"]
+__all__ = ["RecentMembers"]
--- a/src/threadramp/fleet/relaying.py
+++ b/src/threadramp/fleet/relaying.py
@@ -58,7 +58,7 @@
     return [address for address in chain.from_iterable(rows) if address is not None]
 
 
-class StoreCalls:
+class StoreRelay:
     """Calls to the store that peers pass through this process.
 
     :ivar marks: that were given out, with the moment until which each holds
@@ -122,4 +122,4 @@
     return call.path.partition("?")[0]
 
 
-__all__ = ["StoreCalls", "in_turn", "relay_through"]
+__all__ = ["StoreRelay", "in_turn", "relay_through"]
--- a/src/threadramp/fleet/runner_members.py
+++ b/src/threadramp/fleet/runner_members.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from threadramp.fleet.facts import serves_any
-from threadramp.fleet.picture import HOST_ROLE
+from threadramp.fleet.fleet_view import HOST_ROLE
 from threadramp.policy.engine_host import host_of
 from threadramp.report.log import log_state
 
@@ -15,9 +15,9 @@
     from collections.abc import Collection, Iterable, Set
 
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetSnapshot, Member
     from threadramp.fleet.model import Endpoint
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Belief, Member
 
 # An engine that was never seen with a sidecar is left alone for so long: after the start of all
 # processes the sidecars list themselves within a second.
@@ -40,16 +40,16 @@
 
         :param silent: names of those that do not answer
         """
-        belief = self.peers.picture.belief
+        snapshot = self.peers.fleet_view.snapshot
         sidecars = self.peers.sidecars_for(models)
         found = {one.endpoint: one for one in sidecars if one.name not in silent}
-        hosts = self._hosts(belief, models, found, {one.endpoint for one in sidecars}, silent)
+        hosts = self._hosts(snapshot, models, found, {one.endpoint for one in sidecars}, silent)
         self._log(found | hosts)
         return [*sidecars, *hosts.values()]
 
     def _hosts(
         self,
-        belief: Belief,
+        snapshot: FleetSnapshot,
         models: Set[str],
         covered: Collection[str],
         listed: Collection[str],
@@ -57,7 +57,7 @@
     ) -> dict[str, Member]:
         """Return what stands in for a sidecar, by the address of its engine."""
         now = self.clock.now()
-        bare = [one for one in engines(belief) if one.address not in covered]
+        bare = [one for one in engines(snapshot) if one.address not in covered]
         self.bare_since = {one.address: self.bare_since.get(one.address, now) for one in bare}
         gateways = self.peers.live_gateways()
         not_answering = {name.partition("@")[0] for name in silent if "@" in name}
@@ -71,7 +71,7 @@
                 log_state("engine_has_nobody", engine=engine.address)
                 continue
             hosted = hosted_member(host, engine.address)
-            if serves_any(hosted, models, belief):
+            if serves_any(hosted, models, snapshot):
                 hosts[engine.address] = hosted
         return hosts
 
@@ -85,10 +85,12 @@
         self.by_engine = {**self.by_engine, **names}
 
 
-def engines(belief: Belief) -> Iterable[Endpoint]:
+def engines(snapshot: FleetSnapshot) -> Iterable[Endpoint]:
     """Return the endpoints that run samples and want new work."""
     return [
-        one for one in belief.endpoints.values() if not one.leaving and belief.pool(one.pool).models
+        one
+        for one in snapshot.endpoints.values()
+        if not one.leaving and snapshot.pool(one.pool).models
     ]
 
 
--- a/src/threadramp/fleet/store_health.py
+++ b/src/threadramp/fleet/store_health.py
@@ -26,9 +26,9 @@
     :param unheard_s: that long; for a process that doubts no entries and asks less often, never
     """
 
-    def __init__(self, clock: Clock, unheard_s: float = AWAY_S) -> None:
+    def __init__(self, clock: Clock, silence_limit_s: float = AWAY_S) -> None:
         self.clock = clock
-        self.unheard_s = unheard_s
+        self.silence_limit_s = silence_limit_s
         self.away_since: float | None = None
         self.returned_at = 0.0
         self.confirmed_at: float | None = None
@@ -50,11 +50,11 @@
     def observe(self, error: Exception | None) -> None:
         """Note how a call on our own way to the store went; none if it was answered."""
         if error is None:
-            self.answered(self.clock.now())
+            self.record_answer(self.clock.now())
         else:
-            self.failed(self.clock.now(), error)
+            self.record_failure(self.clock.now(), error)
 
-    def failed(self, now: float, error: Exception) -> None:
+    def record_failure(self, now: float, error: Exception) -> None:
         """Note a call without an answer."""
         with self.lock:
             first = self.away_since is None
@@ -63,7 +63,7 @@
         if first:
             log_state("store_lost", error=str(error))
 
-    def answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Note an answer that came on our own way to the store."""
         with self.lock:
             since, self.away_since = self.away_since, None
@@ -84,7 +84,7 @@
             return not heard or self._was_unheard(self.clock.now())
 
     def _was_unheard(self, now: float) -> bool:
-        return self.confirmed_at is not None and now - self.confirmed_at > self.unheard_s
+        return self.confirmed_at is not None and now - self.confirmed_at > self.silence_limit_s
 
 
 __all__ = ["AWAY_S", "StoreHealth"]
--- a/src/threadramp/fleet/silence.py
+++ b/src/threadramp/fleet/unresponsive_gateways.py
@@ -9,20 +9,20 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
 
-SILENT_BEATS = 4  # unanswered in a row, 0.5 s apart: about the time in which a freeze is over
+MAX_MISSED_BEATS = 4  # unanswered in a row, 0.5 s apart: about the time in which a freeze is over
 
 
-class Silence:
+class UnresponsiveGateways:
     """Counts for each gateway's process the beats in a row that it did not answer."""
 
     def __init__(self) -> None:
         self.beats: dict[tuple[str, str], int] = {}
 
-    def is_silent(self, member: Member) -> bool:
+    def is_unresponsive(self, member: Member) -> bool:
         """Return whether a gateway counts as gone."""
-        return self.beats.get(_process(member), 0) >= SILENT_BEATS
+        return self.beats.get(_process(member), 0) >= MAX_MISSED_BEATS
 
     def note(
         self, asked: Iterable[Member], answered: Collection[str], listed: Iterable[Member]
@@ -43,12 +43,12 @@
     def _count(self, member: Member) -> None:
         count = self.beats.get(_process(member), 0) + 1
         self.beats[_process(member)] = count
-        if count == SILENT_BEATS:
-            log_state("gateway_not_answering", gateway=member.name, beats=SILENT_BEATS)
+        if count == MAX_MISSED_BEATS:
+            log_state("gateway_not_answering", gateway=member.name, beats=MAX_MISSED_BEATS)
 
 
 def _process(member: Member) -> tuple[str, str]:
     return (member.name, member.incarnation)
 
 
-__all__ = ["SILENT_BEATS", "Silence"]
+__all__ = ["MAX_MISSED_BEATS", "UnresponsiveGateways"]
--- a/src/threadramp/fleet/following.py
+++ b/src/threadramp/fleet/watch_delegation.py
@@ -19,19 +19,21 @@
 
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.picture import Member, Picture
+    from threadramp.fleet.fleet_view import FleetView, Member
     from threadramp.fleet.store_health import StoreHealth
 
 FRESH_S = 1.2  # a renewal each 0.4 s, a question each 0.5 s, and a delay; bounds are 2 s and more
 CALM_S = 3.0  # for so long a watcher must have been fresh before it is followed again
 
 
-class Following:
+class WatchDelegation:
     """Decides for one gateway."""
 
-    def __init__(self, member: Member, picture: Picture, health: StoreHealth, clock: Clock) -> None:
+    def __init__(
+        self, member: Member, fleet_view: FleetView, health: StoreHealth, clock: Clock
+    ) -> None:
         self.member = member
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.health = health
         self.clock = clock
         self.confirmed: dict[str, float] = {}
@@ -41,17 +43,17 @@
 
     def watchers(self) -> list[Member]:
         """Return the gateways that watch for this data centre."""
-        return watchers_in(self.member.data_centre, self.picture.belief.gateways())
+        return watchers_in(self.member.data_centre, self.fleet_view.snapshot.gateways())
 
     def leaders(self) -> list[Member]:
         """Return the gateways that this one may follow, its own data centre's watcher first."""
-        return leaders_of(self.member.data_centre, self.picture.belief.gateways())
+        return leaders_of(self.member.data_centre, self.fleet_view.snapshot.gateways())
 
-    def hears_at_once(self) -> bool:
+    def receives_pushed_changes(self) -> bool:
         """Return whether a watcher that tells this gateway what changes had a way lately."""
         return self._is_fresh(self.watchers(), self.clock.now())
 
-    def peer_is_served(self) -> bool:
+    def peer_reaches_store(self) -> bool:
         """Return whether the store answered another gateway lately."""
         return self._is_fresh(self._others(), self.clock.now())
 
@@ -67,7 +69,7 @@
             return []
         return [
             one
-            for one in self.picture.belief.gateways()
+            for one in self.fleet_view.snapshot.gateways()
             if one.data_centre == self.member.data_centre and one.name not in watchers
         ]
 
@@ -103,7 +105,7 @@
 
     def _others(self) -> list[Member]:
         """Return the other gateways."""
-        return [one for one in self.picture.belief.gateways() if one.name != self.member.name]
+        return [one for one in self.fleet_view.snapshot.gateways() if one.name != self.member.name]
 
     def _is_fresh(self, leaders: list[Member], now: float) -> bool:
         """Return whether the store answered one of these lately."""
@@ -111,4 +113,4 @@
         return any(age < FRESH_S for age in ages)
 
 
-__all__ = ["FRESH_S", "Following"]
+__all__ = ["FRESH_S", "WatchDelegation"]
--- a/src/threadramp/fleet/watcher.py
+++ b/src/threadramp/fleet/watcher.py
@@ -33,7 +33,7 @@
 WATCH_WAIT_LEAST_S = 0.5  # each wait ends with a priced call
 RETRY_PAUSE_S = 0.4
 FOLLOW_LOOK_S = 0.1  # how often a gateway that follows others looks whether it still may
-GATHER_S = 0.4  # changes of this time come with one answer, where a moment does not matter
+BATCH_WINDOW_S = 0.4  # changes of this time come with one answer, where a moment does not matter
 # Of the time within which a leaving endpoint must get nothing new; the rest is for the answer, the
 # way to those that follow, the sidecars' next question and a busy processor.
 GATHER_SHARE = 0.2
@@ -42,11 +42,11 @@
 class Watcher:
     """One thread that watches one prefix.
 
-    :param gathers: whether changes may wait a little, so that several come with one priced answer
-    :param gather_s: for so long they may wait then
+    :param batches: whether changes may wait a little, so that several come with one priced answer
+    :param batch_window_s: for so long they may wait then
     :param wait_s: after which the store answers though nothing changed
     :param follows: whether others watch for this gateway now
-    :param spread: tells the gateways that follow this one what changed after a revision
+    :param push_changes: tells the gateways that follow this one what changed after a revision
     :param peer_is_served: whether the store answered another gateway lately
     """
 
@@ -56,20 +56,20 @@
         store: StoreClient,
         health: StoreHealth,
         clock: Clock,
-        gathers: bool,
+        batches: bool,
         wait_s: float = WATCH_WAIT_S,
-        gather_s: float = GATHER_S,
+        batch_window_s: float = BATCH_WINDOW_S,
         follows: Callable[[], bool] = lambda: False,
-        spread: Callable[[str, int, Changes], None] = lambda prefix, after, changes: None,
-        peer_is_served: Callable[[], bool] = lambda: False,
+        push_changes: Callable[[str, int, Changes], None] = lambda prefix, after, changes: None,
+        peer_reaches_store: Callable[[], bool] = lambda: False,
     ) -> None:
         self.mirror = mirror
-        self.gathers = gathers
+        self.batches = batches
         self.wait_s = wait_s
-        self.gather_s = gather_s
+        self.batch_window_s = batch_window_s
         self.follows = follows
-        self.spread = spread
-        self.peer_is_served = peer_is_served
+        self.push_changes = push_changes
+        self.peer_reaches_store = peer_reaches_store
         self.store = store
         self.health = health
         self.clock = clock
@@ -151,8 +151,8 @@
         self.mirror.apply(changes, now)
         self.mirror.was_current(self._current_as_of(changes, now))
         self._spread(before, changes)
-        if self.gathers and changes.items:
-            self.stopped.wait(self.gather_s)
+        if self.batches and changes.items:
+            self.stopped.wait(self.batch_window_s)
 
     def _current_as_of(self, changes: Changes, now: float) -> float:
         """Return the latest time at which the store certainly showed what a watch brought.
@@ -180,7 +180,7 @@
             self._spread(known, difference(before, listing))
 
     def _spread(self, after: int, changes: Changes) -> None:
-        self.spread(self.mirror.prefix, after, changes)
+        self.push_changes(self.mirror.prefix, after, changes)
 
     def _doubt_removals(self, now: float) -> None:
         """Doubt removals for a while from now, if the store was away.
@@ -188,7 +188,7 @@
         Where it serves another gateway only the way from here is shut: entries are renewed, and
         one that goes has gone. Doubted, it got requests beyond the bound for leaving endpoints.
         """
-        if not self.peer_is_served():
+        if not self.peer_reaches_store():
             self.mirror.disturbed(now + LAPSE_HOLD_S)
 
     def _returned(self, now: float) -> None:
@@ -211,16 +211,16 @@
     return max(WATCH_WAIT_LEAST_S, contact_s - TOLD_S)
 
 
-def gather_s(drain_s: float) -> float:
+def batch_window_s(drain_s: float) -> float:
     """Return for how long changes of endpoints may be gathered.
 
     :param drain_s: a leaving endpoint gets no new work after this many seconds
     """
-    return max(GATHER_S, GATHER_SHARE * drain_s)
+    return max(BATCH_WINDOW_S, GATHER_SHARE * drain_s)
 
 
 def _rounded(seconds: float | None) -> float | None:
     return None if seconds is None else round(seconds, 3)
 
 
-__all__ = ["GATHER_S", "WATCH_WAIT_S", "Watcher", "gather_s", "watch_wait_s"]
+__all__ = ["BATCH_WINDOW_S", "WATCH_WAIT_S", "Watcher", "batch_window_s", "watch_wait_s"]
--- a/src/threadramp/gateway/crashing_calls.py
+++ b/src/threadramp/gateway/crashing_calls.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.fleet.clock import Clock
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.policy.crash_book import CrashBook, Verdict
 from threadramp.policy.fingerprint import fingerprint, shown
 from threadramp.report.log import log_state
@@ -63,7 +63,7 @@
         """
         key = _fingerprint(request)
         now = self.clock.time_of_day()
-        ruling = self.book.crashed(key, Start(endpoint, int(now * MS_PER_S)), now)
+        ruling = self.book.crashed(key, Incarnation(endpoint, int(now * MS_PER_S)), now)
         log_state(
             "endpoint_ended",
             fingerprint=shown(key),
--- a/src/threadramp/lots/audit.py
+++ b/src/threadramp/lots/audit.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
     from threadramp.lots.model import KeptHead
     from threadramp.lots.owner import LotOwner
 
@@ -60,7 +60,7 @@
             if not self._is_due(seen, gateways, last):
                 seen = gateways
                 continue
-            if self.owner.leaving or not self.peers.picture.members.known:
+            if self.owner.leaving or not self.peers.fleet_view.members.is_loaded:
                 continue
             try:
                 self._audit()
@@ -103,7 +103,7 @@
             kept for kept in heads if not kept.head.ended and self.owned.get(kept.lot_id) is None
         ]
         if any(kept.head.owner not in self._live() for kept in idle):
-            self.peers.relist_members()  # a gateway that just started may not be seen yet
+            self.peers.reload_members()  # a gateway that just started may not be seen yet
         live = self._live()
         orphans = {(kept.lot_id, kept.revision) for kept in idle if kept.head.owner not in live}
         left, self.orphans = self.orphans & orphans, orphans
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -16,7 +16,7 @@
     from collections.abc import Sequence
 
     from threadramp.edge.crash_guard import CrashGuard
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
     from threadramp.lots.model import Lot, Sample
     from threadramp.lots.owned import OwnedLot, OwnedLots
     from threadramp.policy.crash_book import Ruling
@@ -37,7 +37,7 @@
         self.owned = owned
         self.apart: dict[str, tuple[OwnedLot, str]] = {}
 
-    def note(self, lot: OwnedLot, sample: str, outcome: RunOutcome, start: Start) -> None:
+    def note(self, lot: OwnedLot, sample: str, outcome: RunOutcome, start: Incarnation) -> None:
         """Note how a run ended.
 
         :param start: of the engine at which it ran
--- a/src/threadramp/lots/elsewhere.py
+++ b/src/threadramp/lots/elsewhere.py
@@ -13,8 +13,8 @@
 from threadramp.wire.fleet import EndLot, LotEnded, LotPage, ReadBody, ReadLot, SampleBody
 
 if TYPE_CHECKING:
+    from threadramp.fleet.fleet_view import Member
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Member
     from threadramp.lots.journal import LotJournal
     from threadramp.lots.model import KeptHead, Lot, Result
     from threadramp.lots.owned import OwnedLots
@@ -88,7 +88,7 @@
         member = self._owner(self._cached(lot_id))
         if member is None:
             return False
-        ask = EndLot(*self.peers.myself, lot_id)
+        ask = EndLot(*self.peers.sender_fields, lot_id)
         reply = self.peers.ask(member.address, ask, END_TIMEOUT_S)
         return isinstance(reply, LotEnded) and reply.kept
 
@@ -130,7 +130,7 @@
             return self._keep(lot_id, kept)
 
     def _owner(self, cached: CachedLot) -> Member | None:
-        member = self.peers.picture.belief.members.get(cached.kept.head.owner)
+        member = self.peers.fleet_view.snapshot.members.get(cached.kept.head.owner)
         if member is None or member.incarnation != cached.kept.head.incarnation:
             return None
         return None if member.name == self.peers.member.name else member
@@ -139,7 +139,7 @@
         member = self._owner(cached)
         if member is None:
             return None
-        ask = ReadLot(*self.peers.myself, cached.kept.lot_id, after, wait_s)
+        ask = ReadLot(*self.peers.sender_fields, cached.kept.lot_id, after, wait_s)
         reply = self.peers.ask(member.address, ask, wait_s + OWNER_TIMEOUT_S)
         if not isinstance(reply, LotPage) or not reply.total:
             return None
@@ -154,7 +154,7 @@
         member = self._owner(cached)
         if member is None:
             return None
-        ask = ReadBody(*self.peers.myself, cached.kept.lot_id, sample)
+        ask = ReadBody(*self.peers.sender_fields, cached.kept.lot_id, sample)
         reply = self.peers.ask(member.address, ask, OWNER_TIMEOUT_S)
         return reply if isinstance(reply, SampleBody) else None
 
--- a/src/threadramp/lots/end_notices.py
+++ b/src/threadramp/lots/end_notices.py
@@ -78,8 +78,8 @@
 
         One that is not listed may run it: it is told before it has listed itself again.
         """
-        gateways = self.peers.gateways_lately()
-        ask = EndKept(*self.peers.myself, kept)
+        gateways = self.peers.recent_gateways()
+        ask = EndKept(*self.peers.sender_fields, kept)
         replies = self.peers.ask_all({one.address: ask for one in gateways}, ANSWER_S)
         for one in gateways:
             reply = replies.get(one.address)
--- a/src/threadramp/lots/finding.py
+++ b/src/threadramp/lots/finding.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from threadramp.fleet.fleet_view import Member
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Member
     from threadramp.lots.journal import LotJournal
     from threadramp.lots.model import KeptHead
 
@@ -44,7 +44,7 @@
         """
         finder = self._finder(lot_id)
         if finder is not None:
-            ask = FindLot(*self.peers.myself, lot_id)
+            ask = FindLot(*self.peers.sender_fields, lot_id)
             reply = self.peers.ask(finder.address, ask, ASK_TIMEOUT_S)
             if isinstance(reply, LotFound) and reply.kept is not None:
                 return reply.kept
--- a/src/threadramp/lots/hurrying.py
+++ b/src/threadramp/lots/hurrying.py
@@ -35,7 +35,7 @@
         if now - self.asked_at <= AGAIN_S:
             return
         asks = [
-            (view.member, HurryLoad(*self.peers.myself, model, view.member.endpoint))
+            (view.member, HurryLoad(*self.peers.sender_fields, model, view.member.endpoint))
             for model, min_version in self._waiting(now)
             for view in engines_to_hurry(views, model, min_version, now)
         ]
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -22,9 +22,9 @@
     from collections.abc import Callable
 
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import Member
     from threadramp.fleet.model import Route
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Member
     from threadramp.lots.checkpoints import Checkpoints
     from threadramp.lots.journal import LotJournal
     from threadramp.lots.model import KeptHead, Lot, SavedText
@@ -194,7 +194,7 @@
             log_state("hand_over_failed", lot=owned.lot_id, error=str(error))
             return True
         whole = KeptLot(kept, owned.book.lot, tuple(owned.book.listed))
-        ask = Adopt(*self.peers.myself, whole)
+        ask = Adopt(*self.peers.sender_fields, whole)
         if self.peers.ask(heir.address, ask, HAND_OVER_TIMEOUT_S) is None:
             log_state("heir_silent", lot=owned.lot_id, to=heir.name)
             with self.owned.lock:
--- a/src/threadramp/lots/runners.py
+++ b/src/threadramp/lots/runners.py
@@ -164,7 +164,7 @@
             return False
         facts = self.peers.facts_for(view.member)
         engine = view.member.endpoint
-        ask = Collect(*self.peers.myself, facts, have, COLLECT_WAIT_S, engine)
+        ask = Collect(*self.peers.sender_fields, facts, have, COLLECT_WAIT_S, engine)
         reply = self.peers.ask(view.member.address, ask, COLLECT_WAIT_S + ANSWER_MARGIN_S)
         if not isinstance(reply, Updates):
             self._silent(view, lots)
@@ -197,7 +197,7 @@
             asks = [
                 (
                     view.member,
-                    Find(*self.peers.myself, wanted, min_version, view.member.endpoint),
+                    Find(*self.peers.sender_fields, wanted, min_version, view.member.endpoint),
                 )
                 for view in views
             ]
@@ -259,7 +259,7 @@
         with self.owned.lock:
             orders = tuple(self._order(lot, sample, name) for lot, sample in batch)
         facts = self.peers.facts_for(view.member)
-        ask = Submit(*self.peers.myself, facts, orders, view.member.endpoint)
+        ask = Submit(*self.peers.sender_fields, facts, orders, view.member.endpoint)
         reply = self.peers.ask(view.member.address, ask, ASK_TIMEOUT_S)
         now = self.clock.now()
         taken: dict[str, str] = {}
@@ -311,7 +311,7 @@
 
     def _drop(self, view: RunnerView, have: dict[str, int], let_finish: bool) -> None:
         """Drop samples at a sidecar and take their last events."""
-        ask = Drop(*self.peers.myself, have, let_finish, view.member.endpoint)
+        ask = Drop(*self.peers.sender_fields, have, let_finish, view.member.endpoint)
         reply = self.peers.ask(view.member.address, ask, ASK_TIMEOUT_S)
         if isinstance(reply, Updates):
             self.news.heard(view, reply.status)
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -16,8 +16,8 @@
     from threadramp.edge.forward import Forwarder
     from threadramp.edge.job import Outcome
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.model import Route
-    from threadramp.fleet.picture import Picture
     from threadramp.lots.model import Reward
     from threadramp.lots.owned import OwnedLot, OwnedLots
 
@@ -34,7 +34,7 @@
     """Makes the scoring calls of the lots that this gateway owns."""
 
     def __init__(
-        self, owned: OwnedLots, picture: Picture, forwarder: Forwarder, clock: Clock
+        self, owned: OwnedLots, picture: FleetView, forwarder: Forwarder, clock: Clock
     ) -> None:
         self.owned = owned
         self.picture = picture
@@ -73,7 +73,7 @@
             return scoring and not lot.book.ended and self.owned.get(lot.lot_id) is lot
 
     def _call(self, reward: Reward) -> tuple[Outcome | None, Route | None]:
-        configuration = self.picture.belief.configuration
+        configuration = self.picture.snapshot.configuration
         route = configuration.route_for(reward.host, reward.path) if configuration else None
         if route is None:
             return None, None
--- a/src/threadramp/platform/documents.py
+++ b/src/threadramp/platform/documents.py
@@ -13,10 +13,10 @@
     Autoscale,
     CallerLimits,
     Configuration,
-    EmptyRequest,
     Endpoint,
     Pool,
     PoolShare,
+    RetireRequest,
     Route,
     RouteKind,
     WeightTarget,
@@ -246,13 +246,13 @@
     return WeightTarget(found.model, found.version, revision)
 
 
-def read_empty_request(key: str, value: bytes, revision: int) -> EmptyRequest:
+def read_empty_request(key: str, value: bytes, revision: int) -> RetireRequest:
     """Decode the operator's wish to have a box emptied.
 
     :raises DocumentError: if it cannot be read
     """
     found = _decode(_empty, value)
-    return EmptyRequest(key.removeprefix(EMPTY_PREFIX), found.durationS, revision)
+    return RetireRequest(key.removeprefix(EMPTY_PREFIX), found.durationS, revision)
 
 
 def is_address(text: str) -> bool:
--- a/src/threadramp/policy/crash_book.py
+++ b/src/threadramp/policy/crash_book.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 # Beside one that crashes endpoints an innocent stands in one crash often, in two where both are
 # tried again at the same endpoint; from then on it is sent where no other suspect is.
@@ -84,11 +84,11 @@
     def __init__(self, on_news: Callable[[], None] = lambda: None) -> None:
         self.on_news = on_news
         self.suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self.living: OrderedDict[Start, float] = OrderedDict()
+        self.living: OrderedDict[Incarnation, float] = OrderedDict()
         self.untold: dict[bytes, None] = {}
-        self.untold_living: dict[Start, None] = {}
+        self.untold_living: dict[Incarnation, None] = {}
         self.own: set[bytes] = set()
-        self.accused: set[Start] = set()
+        self.accused: set[Incarnation] = set()
         self.births = Births()
         self.lock = threading.RLock()
 
@@ -103,7 +103,7 @@
             return _ruling(self.suspects.get(fingerprint), now)
 
     def crashed(
-        self, fingerprint: bytes, start: Start, now: float, listens: bool = False
+        self, fingerprint: bytes, start: Incarnation, now: float, listens: bool = False
     ) -> Ruling:
         """Note that a start ended while a request was open there.
 
@@ -114,18 +114,18 @@
             self._add_own(seen)
             return _ruling(self.suspects.get(fingerprint), now)
 
-    def proven(self, fingerprint: bytes, start: Start, at: float, next_born: int) -> None:
+    def proven(self, fingerprint: bytes, start: Incarnation, at: float, next_born: int) -> None:
         """Note that another start came after one that broke under a request."""
         with self.lock:
             crash = Crash(start, at, True, next_born)
             self._add_own(Suspect(fingerprint, (crash,), seen_at=at))
 
-    def current(self, start: Start) -> Start:
+    def current(self, start: Incarnation) -> Incarnation:
         """Return the start that is current where an entry names one; entries may stay behind."""
         with self.lock:
             return self.births.current(start)
 
-    def ended_before(self, start: Start, at: float) -> bool:
+    def ended_before(self, start: Incarnation, at: float) -> bool:
         """Return whether a start is said to have ended before a time."""
         with self.lock:
             return start in self.accused and bool(self._accusing(start, at))
@@ -151,7 +151,7 @@
             if known is not None and now - known.seen_at > KEPT_S / 2:
                 self._add_own(Suspect(fingerprint, seen_at=now))
 
-    def lives(self, start: Start, now: float) -> bool:
+    def lives(self, start: Incarnation, now: float) -> bool:
         """Note that a start answered; true if it was said to have ended well before."""
         with self.lock:
             if start not in self.accused or not self._is_taken_back(start, now):
@@ -160,7 +160,7 @@
         self.on_news()
         return True
 
-    def lived_on(self, start: Start, now: float, born: int) -> None:
+    def lived_on(self, start: Incarnation, now: float, born: int) -> None:
         """Note that a start that may have ended told its birth, and is the same one.
 
         :param born: 0 if it tells none
@@ -222,7 +222,7 @@
             if not self.suspects:
                 self.living.clear()
 
-    def _accusing(self, start: Start, before: float) -> list[bytes]:
+    def _accusing(self, start: Incarnation, before: float) -> list[bytes]:
         return [
             one.fingerprint
             for one in self.suspects.values()
@@ -232,7 +232,7 @@
             )
         ]
 
-    def _is_taken_back(self, start: Start, now: float) -> bool:
+    def _is_taken_back(self, start: Incarnation, now: float) -> bool:
         """Return whether an answer of a start takes back that it ended."""
         return any(
             crash.at < now - (SETTLED_WITHIN_S if crash.listens else LIVES_AFTER_S)
@@ -241,7 +241,7 @@
             if crash.start == start and not crash.is_proven
         )
 
-    def _note_living(self, start: Start, now: float) -> None:
+    def _note_living(self, start: Incarnation, now: float) -> None:
         self._add_living(Living(start, now))
         self.untold_living[start] = None
 
--- a/src/threadramp/policy/endpoint_choice.py
+++ b/src/threadramp/policy/endpoint_choice.py
@@ -10,7 +10,7 @@
     from collections.abc import Collection, Sequence
     from random import Random
 
-    from threadramp.fleet.model import Endpoint, Route, Start
+    from threadramp.fleet.model import Endpoint, Incarnation, Route
     from threadramp.platform.headers import EndpointLoad
 
 SUSPEND_S = 0.5  # after a failure; doubles with each further one
@@ -40,7 +40,7 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.records: dict[Start, EndpointRecord] = {}
+        self.records: dict[Incarnation, EndpointRecord] = {}
         self.lock = threading.Lock()
 
     def pool_for(self, route: Route) -> str:
@@ -52,10 +52,10 @@
         return self.random.choices(shares, weights)[0].pool if any(weights) else shares[0].pool
 
     def choose(
-        self, endpoints: Sequence[Endpoint], tried: Collection[Start], now: float
+        self, endpoints: Sequence[Endpoint], tried: Collection[Incarnation], now: float
     ) -> Endpoint | None:
         """Return an endpoint that was not tried yet, none if all were."""
-        fresh = [one for one in endpoints if not one.leaving and one.start not in tried]
+        fresh = [one for one in endpoints if not one.leaving and one.incarnation not in tried]
         if not fresh:
             return None
         with self.lock:
@@ -107,7 +107,7 @@
             errors = record.errors
         return self.failed(endpoint, now) if errors >= ERRORS_UNTIL_SUSPEND else 0.0
 
-    def forget(self, starts: Collection[Start]) -> None:
+    def forget(self, starts: Collection[Incarnation]) -> None:
         """Drop what is known of all starts but these."""
         with self.lock:
             for gone in [one for one in self.records if one not in starts]:
@@ -115,7 +115,7 @@
                     del self.records[gone]
 
     def _record(self, endpoint: Endpoint) -> EndpointRecord:
-        return self.records.setdefault(endpoint.start, EndpointRecord())
+        return self.records.setdefault(endpoint.incarnation, EndpointRecord())
 
     def _expected(self, endpoint: Endpoint, now: float) -> float:
         record = self._record(endpoint)
--- a/src/threadramp/policy/engine_host.py
+++ b/src/threadramp/policy/engine_host.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
 
 
 def host_of(
--- a/src/threadramp/policy/hidden_ends.py
+++ b/src/threadramp/policy/hidden_ends.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 # A request that is broken as fast as a connection on which nothing is asked was not begun: a full
 # queue does that, and a front whose endpoint was down before. A thread may wait for a processor.
@@ -104,7 +104,7 @@
         while len(self.newest) > BIRTHS_MOST:
             del self.newest[next(iter(self.newest))]
 
-    def current(self, start: Start) -> Start:
+    def current(self, start: Incarnation) -> Incarnation:
         """Return the start that is current where an entry names one."""
         born = self.newest.get(start.instance, 0)
         return start._replace(born=born) if born > start.born else start
--- a/src/threadramp/policy/sample_placement.py
+++ b/src/threadramp/policy/sample_placement.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
     from threadramp.wire.runner import RunnerStatus
 
 SPEED_STEP = 1.15  # engines whose gaps differ by less than this count as equally fast
--- a/src/threadramp/policy/scaling.py
+++ b/src/threadramp/policy/scaling.py
@@ -79,7 +79,7 @@
 
     def _lent(self, needed: dict[str, int], demands: Mapping[str, Demand]) -> dict[str, int]:
         """Return what is ordered, where one that has its most is served by others as well."""
-        most, least = self.bounds.most, self.bounds.least
+        most, least = self.bounds.max_replicas, self.bounds.min_replicas
         short = sum(max(0, count - most) for count in needed.values())
         bounded = {name: min(most, max(least, count)) for name, count in needed.items()}
         for name in sorted(bounded, key=lambda one: bounded[one] - demands[one].endpoints):
--- a/src/threadramp/policy/watch_share.py
+++ b/src/threadramp/policy/watch_share.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
 
 WATCHERS = 2  # that a gateway may follow: its own data centre's, and one to stand in for it
 
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.fleet.picture import DUTIES_KEY
-from threadramp.fleet.rights import read_right
+from threadramp.fleet.fenced_lock import decode_lock_record
+from threadramp.fleet.fleet_view import DUTIES_KEY
 from threadramp.platform.documents import CONFIGURATION_KEY
 from threadramp.wire.fleet import Fact
 
@@ -14,9 +14,9 @@
 
     from threadramp.edge.attempts import EndpointAccess
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.mirror import Mirror
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Picture
     from threadramp.lots.owned import OwnedLots
     from threadramp.report.beliefs import Beliefs
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        picture: Picture,
+        picture: FleetView,
         peers: Peers,
         access: EndpointAccess,
         owned: OwnedLots,
@@ -53,10 +53,10 @@
         """Tell which version is believed, whatever name is given, and since when it was current."""
         mirror = self.picture.operator
         source, ago_s = _heard(mirror, CONFIGURATION_KEY, self.clock.now())
-        spoiled = self.picture.readings.unreadable.get(CONFIGURATION_KEY)
+        spoiled = self.picture.decode_cache.unreadable.get(CONFIGURATION_KEY)
         if spoiled is not None:
             yield Fact("newest", f"unreadable: {spoiled.reason}", source, ago_s)
-        found = self.picture.belief.configuration
+        found = self.picture.snapshot.configuration
         if found is None:
             yield Fact("version", "none yet", source, ago_s)
             return
@@ -73,7 +73,7 @@
     def organisation(self, name: str) -> Iterable[Fact]:
         """Tell of an organisation; never of its keys, but how many it holds."""
         source, ago_s = _heard(self.picture.operator, CONFIGURATION_KEY, self.clock.now())
-        configuration = self.picture.belief.configuration
+        configuration = self.picture.snapshot.configuration
         known = configuration.organisations if configuration is not None else None
         found = known.by_name.get(name) if known is not None else None
         if found is None:
@@ -88,7 +88,7 @@
         """Tell who holds the duties of the fleet, whatever name is given."""
         source, ago_s = _heard(self.picture.members, DUTIES_KEY, self.clock.now())
         item = self.picture.members.snapshot().get(DUTIES_KEY)
-        held = read_right(item.value) if item is not None else None
+        held = decode_lock_record(item.value) if item is not None else None
         holder = held.holder if held is not None else ""
         yield Fact("holder", holder or "nobody", source, ago_s)
         if item is not None:
@@ -96,11 +96,11 @@
 
     def endpoint(self, name: str) -> Iterable[Fact]:
         """Tell of an endpoint by its id or its address."""
-        found = self.picture.belief.endpoints.get(name) or self.picture.belief.at_address(name)
+        found = self.picture.snapshot.endpoints.get(name) or self.picture.snapshot.at_address(name)
         instance = found.instance if found is not None else name
         key = self.picture.endpoints.prefix + instance
         source, ago_s = _heard(self.picture.endpoints, key, self.clock.now())
-        spoiled = self.picture.readings.unreadable.get(key)
+        spoiled = self.picture.decode_cache.unreadable.get(key)
         if spoiled is not None:
             yield Fact("entry", f"unreadable: {spoiled.reason}", source, ago_s)
         if found is None:
@@ -110,13 +110,13 @@
         yield Fact("pool", f"{found.pool} at {found.address}, {found.data_centre}", source, ago_s)
         yield Fact("slots, leaving", f"{found.slots}, {found.leaving}", source, ago_s)
         yield Fact("revision", str(found.revision), source, ago_s)
-        if key in self.picture.endpoints.doubted():
+        if key in self.picture.endpoints.retained():
             yield Fact("removal", "doubted: the store lacks the entry", source, ago_s)
         yield from self._seen_of(found)
 
     def _seen_of(self, found: object) -> Iterable[Fact]:
         """Tell what requests to an endpoint showed."""
-        record = self.access.choice.records.get(found.start)
+        record = self.access.choice.records.get(found.incarnation)
         if record is None:
             return
         now = self.clock.now()
@@ -150,7 +150,7 @@
 
     def member(self, name: str) -> Iterable[Fact]:
         """Tell of a process of ours by the name of its box."""
-        found = self.picture.belief.members.get(name)
+        found = self.picture.snapshot.members.get(name)
         key = self.picture.members.prefix + name
         source, ago_s = _heard(self.picture.members, key, self.clock.now())
         if found is None:
@@ -158,10 +158,10 @@
             return
         yield Fact("role, process", f"{found.role}, {found.incarnation}", source, ago_s)
         yield Fact("address", f"{found.address}, {found.data_centre}", source, ago_s)
-        heard = self.peers.heard.get(found.address)
+        heard = self.peers.last_reply_at.get(found.address)
         if heard is not None:
             yield Fact("answered", "yes", "own questions", round(self.clock.now() - heard, 2))
-        if self.peers.silence.is_silent(found):
+        if self.peers.unresponsive.is_unresponsive(found):
             yield Fact("answers", "not to the last beats", "own questions", None)
 
     def request(self, name: str) -> Iterable[Fact]:
@@ -189,7 +189,7 @@
 
 def _heard(mirror: Mirror, key: str, now: float) -> tuple[str, float | None]:
     """Return by which source a key was last learned, and how long ago."""
-    source, at = mirror.learned(key)
+    source, at = mirror.source_of(key)
     return source, None if at is None else round(now - at, 2)
 
 
--- a/src/threadramp/runner/beliefs.py
+++ b/src/threadramp/runner/beliefs.py
@@ -33,7 +33,7 @@
         yield Fact(
             "taken", f"{self.sidecar.table.taken} of {self.sidecar.table.slots}", "own", None
         )
-        yield Fact("order number", str(self.sidecar.weights.right.number), "the store", None)
+        yield Fact("order number", str(self.sidecar.weights.right.fencing_token), "the store", None)
 
 
 __all__ = ["RunnerBeliefs"]
--- a/src/threadramp/runner/engine.py
+++ b/src/threadramp/runner/engine.py
@@ -11,7 +11,7 @@
 
 from threadramp.edge.connections import Connections
 from threadramp.edge.exchange import ExchangeError
-from threadramp.fleet.model import Endpoint, Start
+from threadramp.fleet.model import Endpoint, Incarnation
 from threadramp.platform.engine import (
     ORDER_PATH,
     REPORT_PATH,
@@ -59,9 +59,9 @@
         self.is_unanswered = False  # the turn before brought no report
         self.ordered: WeightTarget | None = None
         self.ordered_model = ""
-        self.over: Start | None = None
+        self.over: Incarnation | None = None
         self.told_born = 0
-        self.known_start: Start | None = None
+        self.known_start: Incarnation | None = None
         self.on_start: Callable[[], None] = lambda: None
         self.gaps: deque[tuple[float, float]] = deque(maxlen=GAPS)
         self.on_silence: Callable[[], None] = lambda: None
@@ -88,13 +88,13 @@
         return self.report is not None and named and self.start != self.over
 
     @property
-    def start(self) -> Start:
+    def start(self) -> Incarnation:
         """Return its newest start, by what gateways told and by what it says of itself.
 
         It may start again under its id and say so before gateways do; if its id is another one,
         it refuses what is sent to this one.
         """
-        return Start(self.facts.instance, max(self.facts.born, self.told_born))
+        return Incarnation(self.facts.instance, max(self.facts.born, self.told_born))
 
     @property
     def is_ready(self) -> bool:
@@ -125,7 +125,7 @@
         with self.lock:
             held = self.facts
             listed = facts if facts.endpoints_revision >= held.endpoints_revision else held
-            if facts.instance == held.instance and facts.start.is_older_than(held.start):
+            if facts.instance == held.instance and facts.start.started_before(held.start):
                 listed = held
             named = facts if facts.targets_revision >= held.targets_revision else held
             if listed.instance != held.instance:
@@ -173,7 +173,7 @@
         self.connections.count = count
         self.report_connections.count = count
 
-    def is_another(self, start: Start) -> None:
+    def is_another(self, start: Incarnation) -> None:
         """Note that the engine is not that start any more; gateways will tell the next one."""
         if self.over != start:
             self.over = start
--- a/src/threadramp/runner/hosting.py
+++ b/src/threadramp/runner/hosting.py
@@ -26,9 +26,9 @@
 
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetSnapshot, Member
     from threadramp.fleet.model import Endpoint
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Belief, Member
     from threadramp.platform.store import StoreClient
     from threadramp.report.metrics import Metrics
     from threadramp.wire.fleet import AnyAsk, AnyReply, Fact
@@ -86,7 +86,7 @@
 
     def handle(self, ask: AnyAsk) -> AnyReply:
         """Answer what is asked of the runner of an engine; nothing is said of an unknown one."""
-        endpoint = self.peers.picture.belief.at_address(ask.engine)
+        endpoint = self.peers.fleet_view.snapshot.at_address(ask.engine)
         if endpoint is None and ask.engine not in self.hosted:
             return Done()
         return self._wanted(ask.engine, endpoint).runner.handle(ask)
@@ -108,7 +108,7 @@
 
     def _look(self) -> None:
         """Host the engines that fall to this gateway, and give up what nobody wants."""
-        belief = self.peers.picture.belief
+        belief = self.peers.fleet_view.snapshot
         self._note_covered(belief)
         for endpoint in engines(belief):
             if self._falls_here(endpoint, belief):
@@ -119,23 +119,23 @@
                 continue
             one.runner.engine.learn(facts_for(one.runner.member, belief))
 
-    def _note_covered(self, belief: Belief) -> None:
+    def _note_covered(self, belief: FleetSnapshot) -> None:
         """Note which engines have a sidecar that is listed, or answered just now.
 
         Without a list of members nothing says that a sidecar is not there.
         """
         now = self.clock.now()
-        if not self.peers.picture.members.known:
+        if not self.peers.fleet_view.members.is_loaded:
             self.knows_members_since = now
         for one in self.peers.sidecars():
             self.sidecars[one.endpoint] = one
-            heard = now - self.peers.heard.get(one.address, float("-inf")) < HEARD_S
+            heard = now - self.peers.last_reply_at.get(one.address, float("-inf")) < HEARD_S
             if one.name in belief.members or heard:
                 self.covered_at[one.endpoint] = now
         listed = belief.by_address
         self.covered_at = {name: at for name, at in self.covered_at.items() if name in listed}
 
-    def _falls_here(self, endpoint: Endpoint, belief: Belief) -> bool:
+    def _falls_here(self, endpoint: Endpoint, belief: FleetSnapshot) -> bool:
         """Return whether an engine has had no sidecar for a while and this gateway stands in."""
         if self.leaving or self._bare_s(endpoint.address) < BARE_S:
             return False
@@ -177,7 +177,7 @@
 
     def _may_order(self, address: str) -> bool:
         """Return whether an engine falls to this gateway and its sidecar does not even answer."""
-        belief = self.peers.picture.belief
+        belief = self.peers.fleet_view.snapshot
         endpoint = belief.at_address(address)
         if endpoint is None or not self._falls_here(endpoint, belief):
             return False
@@ -192,8 +192,8 @@
         )
         return not answers
 
-    def _answers(self, sidecar: Member, belief: Belief) -> bool:
-        beat = Beat(*self.peers.myself, facts_for(sidecar, belief))
+    def _answers(self, sidecar: Member, belief: FleetSnapshot) -> bool:
+        beat = Beat(*self.peers.sender_fields, facts_for(sidecar, belief))
         return self.peers.ask(sidecar.address, beat, ASK_TIMEOUT_S) is not None
 
     def _give_up(self, engine: str) -> None:
--- a/src/threadramp/runner/order_right.py
+++ b/src/threadramp/runner/order_right.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.fleet.rights import PROVEN_S, Right
+from threadramp.fleet.fenced_lock import VERIFICATION_TTL_S, FencedLock
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
 # its box's kernel gives it up, also where the process stands still or has ended.
 ARRIVAL_S = 1.0
 # Beyond the time in which two holders may not give orders in turns.
-HAND_OVER_MARGIN_S = PROVEN_S + ARRIVAL_S
+HAND_OVER_MARGIN_S = VERIFICATION_TTL_S + ARRIVAL_S
 
 
 def order_right(
@@ -27,7 +27,7 @@
     apart_s: float,
     clock: Clock,
     may_take: Callable[[], bool] = lambda: True,
-) -> Right:
+) -> FencedLock:
     """Return the right of one process to order one engine.
 
     :param engine: its address
@@ -35,7 +35,7 @@
     :param may_take: whether it may be taken from another holder, or where nobody holds it
     """
     wait_s = apart_s + HAND_OVER_MARGIN_S
-    return Right(store, RIGHT_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
+    return FencedLock(store, RIGHT_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
 
 
 __all__ = ["ARRIVAL_S", "HAND_OVER_MARGIN_S", "RIGHT_PREFIX", "order_right"]
--- a/src/threadramp/runner/run.py
+++ b/src/threadramp/runner/run.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.lot_book import RunOutcome
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.wire.runner import RunUpdate
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     rejections: int = 0
     sign_at: float = 0.0
     life: int = 0
-    start: Start = Start("")
+    start: Incarnation = Incarnation("")
 
     @property
     def is_open(self) -> bool:
--- a/src/threadramp/runner/sidecar.py
+++ b/src/threadramp/runner/sidecar.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.lot_book import RunOutcome
-from threadramp.fleet.picture import HOST_ROLE, Member
+from threadramp.fleet.fleet_view import HOST_ROLE, Member
 from threadramp.fleet.relaying import relay_through
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
@@ -35,7 +35,7 @@
     from collections.abc import Callable
 
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.relaying import StoreCalls
+    from threadramp.fleet.relaying import StoreRelay
     from threadramp.platform.store_model import Call, RawAnswer
     from threadramp.report.beliefs import Beliefs
     from threadramp.report.metrics import Metrics
@@ -77,7 +77,7 @@
         self.sidecars = 0
         self.listed_again = clock.now()
         self.on_unlisted: Callable[[], None] = lambda: None
-        self.store_calls: StoreCalls | None = None
+        self.store_calls: StoreRelay | None = None
         self.beliefs: Beliefs | None = None
         self.anew_at: float | None = None
         engine.count_with(metrics.count)
--- a/src/threadramp/runner/weights.py
+++ b/src/threadramp/runner/weights.py
@@ -15,8 +15,8 @@
 
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fenced_lock import FencedLock
     from threadramp.fleet.model import WeightTarget
-    from threadramp.fleet.rights import Right
     from threadramp.runner.engine import Engine
 
 TAKEN_TIMEOUT_S = 4.0  # an order that was taken but shows no effect for so long is given again
@@ -47,7 +47,9 @@
     :param versions_apart: 1 if the engine loads each version, 2 if every second one
     """
 
-    def __init__(self, engine: Engine, clock: Clock, right: Right, versions_apart: int = 1) -> None:
+    def __init__(
+        self, engine: Engine, clock: Clock, right: FencedLock, versions_apart: int = 1
+    ) -> None:
         self.right = right
         self.versions_apart = versions_apart
         self.engine = engine
@@ -124,13 +126,13 @@
     def _may_be_overtaken(self) -> bool:
         """Return whether the engine may come to an order of another holder only later."""
         answers_s = self.clock.now() - self.engine.answers_since
-        return self.right.shared and answers_s < ANSWERS_S
+        return self.right.had_previous_holder and answers_s < ANSWERS_S
 
     def _order(self, target: WeightTarget) -> None:
         report = self.engine.report
         start = self.engine.start
         # What others say of this process is no proof: they may not know of the next holder.
-        fence = self.right.proven_number()
+        fence = self.right.verified_token()
         if self._may_be_overtaken():
             fence = 0
         self.seen[target.model].held_up = not fence
@@ -140,7 +142,7 @@
         self.engine.ordered = target
         self.engine.ordered_model = target.model
         self.ordered_at = self.clock.now()
-        outcome = self.engine.order(target, fence, report.orders, self.right.still_proven)
+        outcome = self.engine.order(target, fence, report.orders, self.right.is_verified)
         log_state(
             "order",
             model=target.model,
@@ -148,7 +150,7 @@
             holds=report.versions.get(target.model, 0),
             instance=start.instance,
             fence=fence,
-            right_shown_ago_s=round(self.right.shown_ago_s(), 2),
+            right_shown_ago_s=round(self.right.verified_ago_s(), 2),
             after=report.orders,
             outcome=outcome.value,
         )
--- a/src/threadramp/serve/answers.py
+++ b/src/threadramp/serve/answers.py
@@ -39,7 +39,7 @@
     from threadramp.duties.turns import Duties
     from threadramp.fleet.crash_sharing import CrashSharing
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.relaying import StoreCalls
+    from threadramp.fleet.relaying import StoreRelay
     from threadramp.lots.owner import LotOwner
     from threadramp.lots.reading import LotReader
     from threadramp.runner.hosting import HostedRunners
@@ -57,7 +57,7 @@
         peers: Peers,
         owner: LotOwner,
         reader: LotReader,
-        store_calls: StoreCalls,
+        store_calls: StoreRelay,
         hosting: HostedRunners | None = None,
         beliefs: Beliefs | None = None,
         crashes: CrashSharing | None = None,
@@ -70,7 +70,7 @@
         self.reader = reader
         self.store_calls = store_calls
         self.by_kind: dict[type, Callable[[Any], AnyReply]] = {
-            MirrorBeat: lambda ask: peers.sharing.copy_for(ask),
+            MirrorBeat: lambda ask: peers.mirror_sync.copy_for(ask),
             MirrorChanges: self._take_changes,
             FindLot: lambda ask: reader.elsewhere.find_for_peer(ask),
             ReadLot: lambda ask: reader.page_for_peer(ask),
@@ -83,7 +83,7 @@
         if store_calls is not None:
             self.by_kind[CallStore] = store_calls.answer
         if crashes is not None:
-            self.by_kind[CrashesTold] = crashes.heard
+            self.by_kind[CrashesTold] = crashes.receive
             self.by_kind[Acquit] = crashes.acquit
         if duties is not None:
             self.by_kind[ReadUsage] = duties.collecting.counting.answer
@@ -97,7 +97,7 @@
         return answer(ask) if answer is not None else Done()
 
     def _take_changes(self, ask: MirrorChanges) -> Done:
-        self.peers.sharing.take_changes(ask)
+        self.peers.mirror_sync.apply_changes(ask)
         return Done()
 
     def _end_kept(self, ask: EndKept) -> LotEnded:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -19,16 +19,22 @@
 from threadramp.edge.handler import EdgeHandler
 from threadramp.edge.server import EdgeServer
 from threadramp.edge.streaming import StreamForwarder
+from threadramp.fleet.box_retirement import BoxRetirement
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.crash_sharing import CrashSharing
-from threadramp.fleet.emptying import Emptying
+from threadramp.fleet.fleet_view import MEMBER_PREFIX, FleetView, Member
 from threadramp.fleet.membership import RENEW_S, WATCHER_RENEW_S, Membership
 from threadramp.fleet.model import CallerLimits
 from threadramp.fleet.peers import Peers
-from threadramp.fleet.picture import MEMBER_PREFIX, Member, Picture
-from threadramp.fleet.relaying import StoreCalls
+from threadramp.fleet.relaying import StoreRelay
 from threadramp.fleet.store_health import StoreHealth
-from threadramp.fleet.watcher import GATHER_S, WATCH_WAIT_S, Watcher, gather_s, watch_wait_s
+from threadramp.fleet.watcher import (
+    BATCH_WINDOW_S,
+    WATCH_WAIT_S,
+    Watcher,
+    batch_window_s,
+    watch_wait_s,
+)
 from threadramp.lots.appending import Appending
 from threadramp.lots.audit import LotAudit
 from threadramp.lots.checkpoints import Checkpoints
@@ -142,8 +148,10 @@
         address = f"{own.ip}:{own.peer_port}"
         self.member = Member(own.name, "gateway", self.incarnation, address, own.data_centre, "")
         self.metrics = Metrics("threadramp")
-        self.picture = Picture()
-        self.picture.readings.on_unreadable = lambda kind: self.metrics.count("unreadable", kind)
+        self.picture = FleetView()
+        self.picture.decode_cache.on_unreadable = lambda kind: self.metrics.count(
+            "unreadable", kind
+        )
         health = StoreHealth(clock)
         client = SyncClient(Packing(), decode_reply, redial=True)
         self.peers = Peers(self.member, self.picture, client, health, clock)
@@ -152,14 +160,16 @@
         store = StoreClient(own.store.address, self.peers.relay, health.observe, count=tally.note)
         self.membership = Membership(self.member, store, own.store.lease_min_s)
         self.membership.renew_s = self._renew_s
-        self.peers.on_unlisted = self.membership.not_listed
+        self.peers.on_unlisted = self.membership.mark_unlisted
         self.peers.list_members = lambda: store.list(MEMBER_PREFIX)
         self.watchers = self._new_watchers(store, health, clock)
         store.on_silence.append(self._note_silence)
-        self.emptying = Emptying(self.member.name, self.picture, store)
+        self.emptying = BoxRetirement(self.member.name, self.picture, store)
         book = CrashBook()
         self.crashes = CrashSharing(book, self.peers, store, health, clock, self.member.name)
-        self.guard = CrashGuard(book, clock, self.picture, self.crashes.claim, self.metrics.count)
+        self.guard = CrashGuard(
+            book, clock, self.picture, self.crashes.claim_trial, self.metrics.count
+        )
         self.true_time = TrueTime(clock)
         self._build_lots(store, clock)
         self.duties = self._new_duties(store, clock)
@@ -175,7 +185,7 @@
             self.peers,
             self.owner,
             self.reader,
-            StoreCalls(store, health),
+            StoreRelay(store, health),
             self.hosting,
             self._beliefs(clock),
             self.crashes,
@@ -235,19 +245,19 @@
         """Return a watcher for each mirror; only changes of members are not bounded."""
         bounds = self.settings.bounds
         bounded_s = watch_wait_s(bounds.contact_s)
-        endpoints_s = gather_s(bounds.drain_s)
+        endpoints_s = batch_window_s(bounds.drain_s)
         return [
             Watcher(
                 one,
                 store,
                 health,
                 clock,
-                gathers=one is not self.picture.operator,  # bounds on its changes are short
+                batches=one is not self.picture.operator,  # bounds on its changes are short
                 wait_s=WATCH_WAIT_S if one is self.picture.members else bounded_s,
-                gather_s=endpoints_s if one is self.picture.endpoints else GATHER_S,
-                follows=self.peers.following.follows,
-                spread=self.peers.spread,
-                peer_is_served=self.peers.following.peer_is_served,
+                batch_window_s=endpoints_s if one is self.picture.endpoints else BATCH_WINDOW_S,
+                follows=self.peers.watch_delegation.follows,
+                push_changes=self.peers.push_changes,
+                peer_reaches_store=self.peers.watch_delegation.peer_reaches_store,
             )
             for one in self.picture.mirrors
         ]
@@ -297,7 +307,7 @@
             clock,
             self.owner.release,
             self.metrics,
-            lambda model: self.picture.belief.newest_version(model),
+            lambda model: self.picture.snapshot.newest_version(model),
         )
         self.handler = EdgeHandler(
             self.picture,
@@ -312,11 +322,11 @@
 
     def _renew_s(self) -> float:
         """Return the seconds between renewals: gateways that follow this one go by them."""
-        return WATCHER_RENEW_S if self.peers.following.followers() else RENEW_S
+        return WATCHER_RENEW_S if self.peers.watch_delegation.followers() else RENEW_S
 
     def _keep_limits(self) -> None:
         """Hold callers to the limits of the configuration in force."""
-        configuration = self.picture.belief.configuration
+        configuration = self.picture.snapshot.configuration
         if configuration is not None and configuration.limits != self.callers.limits:
             self.callers.keep(configuration.limits)
             log_state(
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from threadramp.fleet.clock import Clock
+from threadramp.fleet.fleet_view import Member
 from threadramp.fleet.membership import Membership
-from threadramp.fleet.picture import Member
-from threadramp.fleet.relaying import StoreCalls
+from threadramp.fleet.relaying import StoreRelay
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store import StoreClient
 from threadramp.policy.renewals import renewal_s
@@ -49,7 +49,9 @@
             own.name, "sidecar", self.incarnation, address, own.data_centre, own.endpoint
         )
         self.metrics = Metrics("threadramp")
-        health = StoreHealth(clock, unheard_s=math.inf)  # renewals of large fleets are 9 s apart
+        health = StoreHealth(
+            clock, silence_limit_s=math.inf
+        )  # renewals of large fleets are 9 s apart
         client = SyncClient(Packing(), decode_reply, redial=True)
         tally = CallTally(self.metrics, "sidecar")
         tally.start()
@@ -62,8 +64,8 @@
         self.sidecar = Sidecar(member, engine, weights, table, client, clock, self.metrics)
         self.membership = Membership(member, store, own.store.lease_min_s)
         self.membership.renew_s = lambda: renewal_s(self.sidecar.sidecars, own.store.reads_per_s)
-        self.sidecar.on_unlisted = self.membership.not_listed
-        self.sidecar.store_calls = StoreCalls(store, health)
+        self.sidecar.on_unlisted = self.membership.mark_unlisted
+        self.sidecar.store_calls = StoreRelay(store, health)
         beliefs = Beliefs()
         beliefs.add("endpoint", RunnerBeliefs(self.sidecar).endpoint)
         self.sidecar.beliefs = beliefs
--- a/src/threadramp/wire/crashes.py
+++ b/src/threadramp/wire/crashes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
@@ -18,7 +18,7 @@
         known
     """
 
-    start: Start
+    start: Incarnation
     at: float
     listens: bool = False
     next_born: int = 0
@@ -63,7 +63,7 @@
 class Living(msgspec.Struct, frozen=True, array_like=True):
     """A start that answered at a time; what had said before that it ended was wrong."""
 
-    start: Start
+    start: Incarnation
     at: float
 
 
--- a/src/threadramp/wire/runner.py
+++ b/src/threadramp/wire/runner.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from threadramp.fleet.model import Start, WeightTarget
+from threadramp.fleet.model import Incarnation, WeightTarget
 from threadramp.lots.model import USUAL_RANK, Sample
 from threadramp.policy.model_share import ModelShare
 
@@ -37,9 +37,9 @@
     born: int = 0
 
     @property
-    def start(self) -> Start:
+    def start(self) -> Incarnation:
         """Return the current start of the sidecar's endpoint."""
-        return Start(self.instance, self.born)
+        return Incarnation(self.instance, self.born)
 
 
 class RunnerStatus(msgspec.Struct, frozen=True, array_like=True):
@@ -109,7 +109,7 @@
     versions: tuple[int, ...]
     lineage: str
     outcome: str
-    start: Start = Start("")
+    start: Incarnation = Incarnation("")
 
 
 def is_changing(loading: str, model: str) -> bool:
--- a/tests/duties/test_collecting.py
+++ b/tests/duties/test_collecting.py
@@ -5,7 +5,7 @@
 import pytest
 
 from threadramp.duties.collecting import UsageCollecting, UsageCounting
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.policy.true_time import SURE_S, TrueTime
 from threadramp.policy.usage_book import KEPT_WINDOWS
 from threadramp.wire.fleet import ReadUsage
@@ -21,15 +21,15 @@
         self.clock = clock
         self.counting = counting
         self.member = Member("me", "gateway", "i1", "10.0.0.1:7720", "a", "")
-        self.myself = ("me", "10.0.0.1:7720")
+        self.sender_fields = ("me", "10.0.0.1:7720")
         self.answers = True
-        self.picture = self
-        self.belief = self
+        self.fleet_view = self
+        self.snapshot = self
 
     def gateways(self):
         return [self.member, OTHER]
 
-    def gateways_lately(self):
+    def recent_gateways(self):
         return [OTHER]
 
     def ask_all(self, asks, timeout_s):
--- a/tests/duties/test_scale_orders.py
+++ b/tests/duties/test_scale_orders.py
@@ -8,8 +8,8 @@
 
 from tests.stores import MemoryStore
 from threadramp.duties.scale_orders import CALLS_A_LOOK, LOOK_S, ScaleOrders
+from threadramp.fleet.fenced_lock import FencedLock
 from threadramp.fleet.model import Autoscale, Pool
-from threadramp.fleet.rights import Right
 from threadramp.platform.duty_calls import DutyAnswer, DutyOutcome
 from threadramp.report.metrics import Metrics
 
@@ -46,7 +46,7 @@
 
     def __init__(self, name: str, store: MemoryStore, interface: Interface, clock) -> None:
         self.busy = 0.0
-        self.right = Right(store, "member/.duties", name, APART_S, clock)
+        self.right = FencedLock(store, "member/.duties", name, APART_S, clock)
         pool = Pool("calls", slots=8, autoscale=Autoscale(1, 9, 0.0))
         listed = [SimpleNamespace(data_centre=one, leaving=False, slots=8) for one in PLACES]
         belief = SimpleNamespace(
@@ -56,12 +56,12 @@
             self.right,
             interface.caller(name),
             SimpleNamespace(open_at=lambda _: dict.fromkeys(PLACES, self.busy)),
-            SimpleNamespace(belief=belief),
+            SimpleNamespace(snapshot=belief),
             Metrics("t"),
         )
 
     def turn(self) -> None:
-        number = self.right.usable_number()
+        number = self.right.cached_token()
         if number:
             self.orders.turn(number)
 
@@ -116,7 +116,7 @@
     one.turn()
     for box, busy in ((two, 45.0), (one, 30.0)):
         box.busy = busy
-        box.right.proven_number()
+        box.right.verified_token()
         clock.at += LOOK_S
         box.turn()
     last = {place: (box, count) for box, _, place, count in interface.rows}
--- a/tests/duties/test_turns.py
+++ b/tests/duties/test_turns.py
@@ -6,8 +6,8 @@
 
 from tests.stores import MemoryStore
 from threadramp.duties.turns import Duties
-from threadramp.fleet.picture import Member
-from threadramp.fleet.rights import Right, read_right
+from threadramp.fleet.fenced_lock import FencedLock, decode_lock_record
+from threadramp.fleet.fleet_view import Member
 
 KEY = "member/.duties"
 NAMES = ("front-0", "front-1", "front-2")
@@ -17,17 +17,19 @@
     def __init__(self, store, box, clock, duties):
         self.store = store
         self.box = box
-        self.right = Right(store, KEY, box, 3.0, clock, lambda holder: duties().may_take(holder))
+        self.right = FencedLock(
+            store, KEY, box, 3.0, clock, lambda holder: duties().may_take(holder)
+        )
 
     def holder(self):
         item = self.store.items.get(KEY)
-        return read_right(item.value).holder if item is not None else ""
+        return decode_lock_record(item.value).holder if item is not None else ""
 
     def is_mine(self):
         return self.holder() == self.box
 
     def usable_number(self):
-        return self.right.usable_number()
+        return self.right.cached_token()
 
 
 class Collecting:
@@ -46,8 +48,8 @@
     def __init__(self, box, clock):
         self.member = Member(box, "gateway", "i", "10.0.0.1:1", "a", "")
         self.clock = clock
-        self.picture = self
-        self.belief = self
+        self.fleet_view = self
+        self.snapshot = self
 
     def gateways(self):
         return [Member(name, "gateway", "i", "10.0.0.1:1", "a", "") for name in NAMES]
@@ -71,7 +73,7 @@
         one = gateway(name, store, clock)
         one.answered = len(NAMES) - 1
         one.turn()
-        if one.holding.right.number:
+        if one.holding.right.fencing_token:
             return one
     raise AssertionError("nobody took them")
 
@@ -100,7 +102,7 @@
     one.leave()
     one.turn()
     assert one.holding.holder() != one.holding.box
-    assert one.holding.right.number == 0
+    assert one.holding.right.fencing_token == 0
 
 
 class Counting:
@@ -114,7 +116,7 @@
 class HeldUpPeers(Fleet):
     """Answers nothing to its first questions, each of which takes half a second."""
 
-    myself = ("front-0", 1.0)
+    sender_fields = ("front-0", 1.0)
 
     def __init__(self, clock, unanswered: int):
         super().__init__("front-0", clock)
--- a/tests/duties/test_usage_reports.py
+++ b/tests/duties/test_usage_reports.py
@@ -13,7 +13,7 @@
 from tests.stores import MemoryStore
 from threadramp.duties.proof import PROVEN_S
 from threadramp.duties.usage_reports import FIXED_PREFIX, UsageReports
-from threadramp.fleet.rights import Right
+from threadramp.fleet.fenced_lock import FencedLock
 from threadramp.platform.duty_calls import DutyAnswer, DutyCalls, DutyOutcome
 from threadramp.platform.standins.cloud import PlatformCloud
 from threadramp.platform.store_model import StoreError, StoreUnknownError
@@ -87,7 +87,7 @@
 
 class Gateway:
     def __init__(self, box: str, store: MemoryStore, cloud: Cloud, clock: FakeClock) -> None:
-        self.right = Right(store, "member/.duties", box, APART_S, clock)
+        self.right = FencedLock(store, "member/.duties", box, APART_S, clock)
         self.collected = Collected()
         schedule = UsageSchedule(WINDOW_S, 10.0)
         self.true_time = TrueTime(clock)
@@ -102,7 +102,7 @@
         )
 
     def turn(self) -> None:
-        number = self.right.usable_number()
+        number = self.right.cached_token()
         if number:
             try:
                 self.reports.turn(number)
@@ -201,7 +201,7 @@
     cloud.outcome = DutyOutcome.TAKEN
     clock.at += 1.0
     one.turn()
-    assert cloud.rows == [("one", one.right.number, window, {"acme": 1})]
+    assert cloud.rows == [("one", one.right.fencing_token, window, {"acme": 1})]
 
 
 def test_an_unanswered_call_is_repeated_exactly(store, cloud, clock):
@@ -323,7 +323,7 @@
 def test_a_deposed_holder_fixes_nothing(store, cloud, clock):
     one, two = Gateway("one", store, cloud, clock), Gateway("two", store, cloud, clock)
     one.turn()
-    two.right.usable_number()
+    two.right.cached_token()
     window = pass_window(clock)
     one.collected.windows[window] = Counter(acme=1)
     one.turn()
@@ -383,7 +383,7 @@
             cloud.outcome = DutyOutcome.TURNED_AWAY if taken else DutyOutcome.TAKEN
         else:
             try:
-                box.right.give_to(f"box-{(place + 1) % 3}")
+                box.right.transfer_to(f"box-{(place + 1) % 3}")
             except StoreError:
                 continue
         clock.at += seconds
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -17,8 +17,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
-from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind, Start
-from threadramp.fleet.picture import Belief, Picture
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
+from threadramp.fleet.model import Endpoint, Incarnation, PoolShare, Route, RouteKind
 from threadramp.platform.standins.crashing import CrashingEndpoint
 from threadramp.policy.crash_book import TRIALS_AFTER_S, Verdict
 from threadramp.policy.endpoint_choice import EndpointChoice
@@ -32,7 +32,7 @@
     """One gateway's forwarder and a pool whose endpoints crash and stay away for long."""
 
     def __init__(self) -> None:
-        self.picture = Picture()
+        self.picture = FleetView()
         self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(COUNT)]
         self.list_all()
         self.forwarder = Forwarder(
@@ -46,7 +46,7 @@
             one.instance: Endpoint(one.instance, "p", one.address, "a", 6, leaving)
             for one in self.standins
         }
-        self.picture.belief = Belief(endpoints=rows)
+        self.picture.snapshot = FleetSnapshot(endpoints=rows)
 
     def run(self, target="/crashes", attempts=5, target_s=1.0, kind=RouteKind.REPEATABLE):
         route = Route("r", "h", "/", kind, (PoolShare("p", 1.0),), 2.0, target_s, attempts)
@@ -193,10 +193,10 @@
     for one in crowd.standins:
         one.engine.faults["hold_s"] = 0.0
     for one in crowd.standins[:2]:
-        crowd.guard.ended_under("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
+        crowd.guard.ended_under("id", _fingerprint("/calm"), Incarnation(f"i-before-{one.name}"))
     assert crowd.verdict("/calm") is Verdict.APART
     for one in crowd.standins:
-        assert crowd.guard.take_place(Start(one.instance))
+        assert crowd.guard.take_place(Incarnation(one.instance))
     assert crowd.run("/calm").ending is Ending.ANSWERED
     assert pauses == [REJECTED_PAUSE_S] * REJECTED_ROUNDS
     assert crowd.verdict("/calm") is Verdict.FREE
--- a/tests/edge/test_duplicate_responses.py
+++ b/tests/edge/test_duplicate_responses.py
@@ -11,8 +11,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.retries import RetryBudget
 
@@ -40,8 +40,8 @@
 
 @pytest.fixture
 def forwarder(endpoint) -> Forwarder:
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": endpoint})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(endpoints={"i-1": endpoint})
     choice = EndpointChoice(Random(1))
     return Forwarder(picture, Connections(), choice, RetryBudget(), Clock())
 
--- a/tests/edge/test_end_watch.py
+++ b/tests/edge/test_end_watch.py
@@ -7,13 +7,13 @@
 import pytest
 
 from threadramp.edge.end_watch import WATCHED_MOST, EndWatch
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.policy.crash_book import CrashBook, Verdict
 
 BORN = 1_700_000_000_000
 ONE = b"one-request-0000"
 OTHER = b"other-request-00"
-START = Start("i-0", BORN)
+START = Incarnation("i-0", BORN)
 
 
 class Asked:
@@ -74,7 +74,7 @@
     """The next start answers under another id, which passed for the one before living on."""
     book, asked = CrashBook(), Asked(0, 0, 0)
     asked.clock = clock
-    start = Start("i-0")
+    start = Incarnation("i-0")
     replaced_at = clock.now() + 1.0
     watch = EndWatch(
         book, clock, asked.ask, asked.pause, lambda one, address: clock.now() > replaced_at
@@ -84,7 +84,7 @@
     watch._settle(start, "127.0.0.1:1")
     for seconds in (0.0, 60.0):
         clock.at += seconds
-        book.lives(Start("i-1"), clock.time_of_day())
+        book.lives(Incarnation("i-1"), clock.time_of_day())
         assert book.ruling(ONE, clock.time_of_day()).crashes == 1
 
 
@@ -123,7 +123,7 @@
     go_on = threading.Event()
     watch = EndWatch(CrashBook(), clock, lambda address: 0, lambda seconds: go_on.wait(5.0))
     for number in range(WATCHED_MOST + 9):
-        watch.watch(Start(f"i-{number}", BORN), "127.0.0.1:1", ONE)
+        watch.watch(Incarnation(f"i-{number}", BORN), "127.0.0.1:1", ONE)
     assert len(watch.held) == WATCHED_MOST
     go_on.set()
 
--- a/tests/edge/test_filled_up.py
+++ b/tests/edge/test_filled_up.py
@@ -13,8 +13,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.retries import RetryBudget
 
@@ -57,8 +57,10 @@
 @pytest.mark.parametrize("ends", [False, True], ids=["goes on", "cut short"])
 def test_a_body_that_another_answer_filled_up_is_not_passed_on(named, own_bytes, ends):
     endpoint = Filling(named, own_bytes, ends)
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(
+        endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
+    )
     connections = Connections()
     forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
@@ -92,8 +94,10 @@
 def test_an_answer_cut_short_that_its_own_copy_fills_up_is_not_passed_on(own_bytes):
     """On a connection that carried nothing before, in one segment."""
     endpoint = CutAndAgain(own_bytes)
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(
+        endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
+    )
     forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
--- a/tests/edge/test_forward.py
+++ b/tests/edge/test_forward.py
@@ -13,8 +13,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.endpoint import PlatformEngine
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.retries import RetryBudget
@@ -26,7 +26,7 @@
     def __init__(self, serve):
         self.serve = serve
         self.asked = 0
-        self.picture = Picture()
+        self.picture = FleetView()
         self.connections = Connections()
         self.standins: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
@@ -41,7 +41,7 @@
         self.standins.append(standin)
         place = address or self.serve(standin)
         self.endpoints[instance] = Endpoint(instance, "p", place, "a", 6)
-        self.picture.belief = Belief(endpoints=dict(self.endpoints))
+        self.picture.snapshot = FleetSnapshot(endpoints=dict(self.endpoints))
         return standin
 
     def run(self, kind=RouteKind.REPEATABLE, attempts=3, time_s=2.0, target_s=1.0, **more):
@@ -188,7 +188,7 @@
     fleet.add()
     fleet.run()
     assert fleet.connections.idle and fleet.choice.records
-    fleet.picture.belief = Belief()
+    fleet.picture.snapshot = FleetSnapshot()
     fleet.forwarder.forget_gone()
     assert not fleet.connections.idle
     assert not fleet.choice.records
@@ -206,7 +206,7 @@
     """List the first endpoint as another start under its id."""
     again = replace(fleet.endpoints["i-0"], born=born)
     fleet.endpoints["i-0"] = again
-    fleet.picture.belief = Belief(endpoints=dict(fleet.endpoints))
+    fleet.picture.snapshot = FleetSnapshot(endpoints=dict(fleet.endpoints))
 
 
 def test_what_is_known_of_a_start_does_not_hold_for_the_next_one_under_its_id(fleet):
@@ -224,7 +224,7 @@
     """Where that is the only endpoint, the caller waited for nothing until its time was over."""
     dead = fleet.add()
     fleet.endpoints["i-0"] = replace(fleet.endpoints["i-0"], address="127.0.0.1:1")
-    fleet.picture.belief = Belief(endpoints=dict(fleet.endpoints))
+    fleet.picture.snapshot = FleetSnapshot(endpoints=dict(fleet.endpoints))
     choose = fleet.choice.choose
 
     def once_it_failed(endpoints, tried, now):
@@ -232,8 +232,8 @@
             fleet.endpoints["i-0"] = replace(
                 fleet.endpoints["i-0"], address=fleet.serve(dead), born=2000
             )
-            fleet.picture.belief = Belief(endpoints=dict(fleet.endpoints))
-        return choose(fleet.picture.belief.in_pool("p"), tried, now)
+            fleet.picture.snapshot = FleetSnapshot(endpoints=dict(fleet.endpoints))
+        return choose(fleet.picture.snapshot.in_pool("p"), tried, now)
 
     fleet.choice.choose = once_it_failed
     assert fleet.run().ending is Ending.ANSWERED
--- a/tests/edge/test_hidden_ends.py
+++ b/tests/edge/test_hidden_ends.py
@@ -14,8 +14,8 @@
 from tests.edge.test_crash_guard import Crowd, _fingerprint
 from tests.serve.fleet import wait_for
 from threadramp.edge.job import Ending
+from threadramp.fleet.fleet_view import FleetSnapshot
 from threadramp.fleet.model import Endpoint
-from threadramp.fleet.picture import Belief
 from threadramp.platform.standins.crashing import CrashingEndpoint, FrontProxy, WhileDown
 from threadramp.policy.crash_book import Verdict
 
@@ -42,7 +42,7 @@
 
     def list_all(self, leaving: bool = False) -> None:
         rows = getattr(self, "listed", {})
-        self.picture.belief = Belief(endpoints=rows)
+        self.picture.snapshot = FleetSnapshot(endpoints=rows)
 
     def flap(self, for_s: float) -> None:
         for one in self.standins:
--- a/tests/edge/test_interim.py
+++ b/tests/edge/test_interim.py
@@ -11,8 +11,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.retries import RetryBudget
 
@@ -26,8 +26,10 @@
         return b"HTTP/1.1 " + interim + b"\r\n\r\n" + response(b"body", **own)
 
     endpoint = Stutterer(answer, LATE)
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(
+        endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
+    )
     forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
--- a/tests/edge/test_second_answers.py
+++ b/tests/edge/test_second_answers.py
@@ -14,8 +14,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.stuttering import (
     IDLE_S,
     OTHER,
@@ -48,8 +48,8 @@
 @pytest.fixture
 def forward(connections, endpoint):
     """Forwards a request and returns how it ended."""
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": endpoint})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(endpoints={"i-1": endpoint})
     forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
 
     def run(ident: str, kind: RouteKind = RouteKind.REPEATABLE, **more):
--- a/tests/edge/test_signs.py
+++ b/tests/edge/test_signs.py
@@ -7,9 +7,9 @@
 
 from threadramp.edge.endpoint_probe import EndpointState
 from threadramp.edge.signs import OTHERS_S, Breaking, Signs, timed_look
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 
-START = Start("i-0", 1)
+START = Incarnation("i-0", 1)
 
 
 def signs(open_there, own: int = 0) -> Signs:
--- a/tests/edge/test_stale_connections.py
+++ b/tests/edge/test_stale_connections.py
@@ -16,8 +16,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.engine import REPORT_PATH
 from threadramp.policy.endpoint_choice import EndpointChoice
 from threadramp.policy.retries import RetryBudget
@@ -99,9 +99,9 @@
 
 
 def test_a_request_that_runs_once_is_not_sent_again_after_its_bytes_left(dropping):
-    picture = Picture()
+    picture = FleetView()
     only = dropping[0].endpoint
-    picture.belief = Belief(endpoints={only.instance: only})
+    picture.snapshot = FleetSnapshot(endpoints={only.instance: only})
     forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
     endings = []
@@ -114,9 +114,9 @@
 
 
 def test_an_endpoint_is_not_avoided_for_an_idle_connection_that_it_dropped(dropping):
-    picture = Picture()
+    picture = FleetView()
     endpoints = {one.endpoint.instance: one.endpoint for one in dropping}
-    picture.belief = Belief(endpoints=endpoints)
+    picture.snapshot = FleetSnapshot(endpoints=endpoints)
     choice = EndpointChoice(Random(1))
     forwarder = Forwarder(picture, Connections(), choice, RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.REPEATABLE, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
--- a/tests/edge/test_streaming.py
+++ b/tests/edge/test_streaming.py
@@ -16,8 +16,8 @@
 from threadramp.edge.server import EdgeServer
 from threadramp.edge.streaming import GO_BACK_MOST, SILENT_S, StreamForwarder
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import CallerLimits, Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.headers import request_id
 from threadramp.platform.standins.endpoint import PlatformEngine
 from threadramp.platform.standins.stuttering import Moment, Second, Stutter, StutteringFront
@@ -30,7 +30,7 @@
 
     def __init__(self, serve) -> None:
         self.serve = serve
-        self.picture = Picture()
+        self.picture = FleetView()
         self.engines: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
         access = Forwarder(
@@ -50,7 +50,7 @@
         engine = PlatformEngine({"instance": instance, **faults})
         self.engines.append(engine)
         self.endpoints[instance] = Endpoint(instance, "p", self.serve(engine), "a", 6)
-        self.picture.belief = Belief(endpoints=dict(self.endpoints))
+        self.picture.snapshot = FleetSnapshot(endpoints=dict(self.endpoints))
         return engine
 
     def _answer(self, request) -> None:
--- a/tests/fleet/test_crash_sharing.py
+++ b/tests/fleet/test_crash_sharing.py
@@ -9,8 +9,8 @@
 import pytest
 
 from threadramp.fleet.crash_sharing import CrashSharing
-from threadramp.fleet.model import Start
-from threadramp.fleet.picture import MEMBER_PREFIX, Member, Picture
+from threadramp.fleet.fleet_view import MEMBER_PREFIX, FleetView, Member
+from threadramp.fleet.model import Incarnation
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.lots.model import encode
 from threadramp.platform.store import StoreClient
@@ -26,11 +26,11 @@
 
     def __init__(self, name: str, boxes: dict[str, Box]) -> None:
         self.member = Member(name, "gateway", "1", name, "a", "")
-        self.myself = (name, name)
-        self.picture = Picture()
+        self.sender_fields = (name, name)
+        self.fleet_view = FleetView()
         self.boxes = boxes
 
-    def gateways_lately(self) -> list[Member]:
+    def recent_gateways(self) -> list[Member]:
         return [box.peers.member for name, box in self.boxes.items() if name != self.member.name]
 
     def ask_all(self, asks, timeout_s):
@@ -38,7 +38,7 @@
         for address, ask in asks.items():
             box = self.boxes[address]
             if not box.cut:
-                replies[address] = box.sharing.heard(decode_ask(encode(ask)))
+                replies[address] = box.sharing.receive(decode_ask(encode(ask)))
         assert all(isinstance(one, Done) for one in replies.values())
         return replies
 
@@ -58,11 +58,11 @@
 
     def crash(self, *starts: int) -> None:
         for number in starts:
-            self.book.crashed(ONE, Start(f"i-{number}", 1), self.clock.time_of_day())
+            self.book.crashed(ONE, Incarnation(f"i-{number}", 1), self.clock.time_of_day())
         self.sharing.turn()
 
     def watch(self) -> None:
-        self.peers.picture.members.replace(self.store.list(MEMBER_PREFIX), self.clock.now())
+        self.peers.fleet_view.members.replace(self.store.list(MEMBER_PREFIX), self.clock.now())
 
     @property
     def verdict(self) -> Verdict:
@@ -104,15 +104,15 @@
     late = Box("g9", boxes, store_address, clock)
     late.watch()
     assert late.verdict is Verdict.REFUSED
-    assert late.peers.picture.belief.members == {}  # what is kept there is no member
+    assert late.peers.fleet_view.snapshot.members == {}  # what is kept there is no member
 
 
 def test_a_box_that_starts_again_keeps_its_part(boxes, store_address, clock):
     boxes["g0"].crash(0, 1, 2)
     again = Box("g0", boxes, store_address, clock)
     again.watch()
-    again.book.crashed(b"another-request0", Start("i-7", 1), clock.time_of_day())
-    again.book.crashed(b"another-request0", Start("i-8", 1), clock.time_of_day())
+    again.book.crashed(b"another-request0", Incarnation("i-7", 1), clock.time_of_day())
+    again.book.crashed(b"another-request0", Incarnation("i-8", 1), clock.time_of_day())
     again.sharing.turn()
     late = Box("g9", boxes, store_address, clock)
     late.watch()
@@ -143,9 +143,9 @@
 
 def test_one_box_of_all_gets_a_trial_and_none_while_the_store_is_away(boxes, platform_store):
     boxes["g0"].crash(0, 1, 2)
-    assert [box.sharing.claim(ONE, 1) for box in boxes.values()] == [True, False, False]
+    assert [box.sharing.claim_trial(ONE, 1) for box in boxes.values()] == [True, False, False]
     platform_store.faults["outage"] = True
-    assert [box.sharing.claim(ONE, 2) for box in boxes.values()] == [False, False, False]
+    assert [box.sharing.claim_trial(ONE, 2) for box in boxes.values()] == [False, False, False]
 
 
 NEAR_MISSES = [
@@ -176,9 +176,9 @@
     for box in boxes.values():
         box.sharing.start()
     started = time.monotonic()
-    boxes["g0"].book.crashed(ONE, Start("i-0"), boxes["g0"].clock.time_of_day())
-    boxes["g1"].book.crashed(ONE, Start("i-1"), boxes["g0"].clock.time_of_day())
-    boxes["g2"].book.crashed(ONE, Start("i-2"), boxes["g0"].clock.time_of_day())
+    boxes["g0"].book.crashed(ONE, Incarnation("i-0"), boxes["g0"].clock.time_of_day())
+    boxes["g1"].book.crashed(ONE, Incarnation("i-1"), boxes["g0"].clock.time_of_day())
+    boxes["g2"].book.crashed(ONE, Incarnation("i-2"), boxes["g0"].clock.time_of_day())
     while {box.verdict for box in boxes.values()} != {Verdict.REFUSED}:
         assert time.monotonic() < started + CONTACT_S
         time.sleep(0.01)
--- a/tests/fleet/test_facts.py
+++ b/tests/fleet/test_facts.py
@@ -7,13 +7,13 @@
 import pytest
 
 from threadramp.fleet.facts import facts_for, serves_any
+from threadramp.fleet.fleet_view import FleetSnapshot, Member
 from threadramp.fleet.model import Configuration, Endpoint, Pool, WeightTarget
-from threadramp.fleet.picture import Belief, Member
 
 MODELS = tuple(f"m{n}" for n in range(9))
 
 
-def fleet(engines: int, models: tuple[str, ...] = MODELS) -> Belief:
+def fleet(engines: int, models: tuple[str, ...] = MODELS) -> FleetSnapshot:
     endpoints = {
         f"i-{n}": Endpoint(f"i-{n}", "engines", f"10.0.{n // 250}.{n % 250}:80", "a", 8)
         for n in range(engines)
@@ -22,7 +22,7 @@
         f"s{n}": Member(f"s{n}", "sidecar", "1", f"s{n}:1", "a", one.address)
         for n, one in enumerate(endpoints.values())
     }
-    return Belief(
+    return FleetSnapshot(
         configuration=Configuration(pools={"engines": Pool("engines", models=models)}),
         endpoints=endpoints,
         members=members,
@@ -30,8 +30,8 @@
     )
 
 
-def asked(belief: Belief, *models: str) -> list[Member]:
-    return [one for one in belief.sidecars() if serves_any(one, set(models), belief)]
+def asked(snapshot: FleetSnapshot, *models: str) -> list[Member]:
+    return [one for one in snapshot.sidecars() if serves_any(one, set(models), snapshot)]
 
 
 def test_in_a_small_pool_every_engine_is_asked():
@@ -40,17 +40,17 @@
 
 @pytest.mark.parametrize(("models", "engines"), [(("m0",), 300), (("m0", "m5"), 600)])
 def test_in_a_large_pool_those_are_asked_that_keep_the_model_up_to_date(models, engines):
-    belief = fleet(2_700)
-    found = asked(belief, *models)
+    snapshot = fleet(2_700)
+    found = asked(snapshot, *models)
     assert len(found) == engines
-    named = {target.model for one in found for target in facts_for(one, belief).targets}
+    named = {target.model for one in found for target in facts_for(one, snapshot).targets}
     assert named == set(models)
 
 
 def test_an_engine_that_is_not_listed_yet_is_asked():
-    belief = fleet(100)
+    snapshot = fleet(100)
     late = Member("late", "sidecar", "1", "late:1", "a", "10.9.9.9:80")
-    assert serves_any(late, {"m0"}, belief)
+    assert serves_any(late, {"m0"}, snapshot)
 
 
 def test_with_one_model_every_engine_keeps_it():
@@ -59,10 +59,10 @@
 
 def test_what_a_sidecar_is_told_takes_no_longer_in_a_large_fleet():
     """Each question to a sidecar carries its facts; they were worked out from all endpoints."""
-    belief = fleet(2_700)
-    sidecars = belief.sidecars()
-    facts_for(sidecars[0], belief)
+    snapshot = fleet(2_700)
+    sidecars = snapshot.sidecars()
+    facts_for(sidecars[0], snapshot)
     started = time.process_time()
     for one in sidecars:
-        facts_for(one, belief)
+        facts_for(one, snapshot)
     assert time.process_time() - started < 1.0  # 2,700 sorts of 2,700 addresses took 2.5 s
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_fenced_lock.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tests.stores import MemoryStore
-from threadramp.fleet.rights import AGAIN_S, Right, read_right
+from threadramp.fleet.fenced_lock import RETRY_INTERVAL_S, FencedLock, decode_lock_record
 from threadramp.platform.store_model import StoreError
 
 APART_S = 3.0
@@ -19,73 +19,73 @@
     return MemoryStore()
 
 
-def right(store, holder, clock, **how) -> Right:
-    return Right(store, KEY, holder, APART_S, clock, **how)
+def right(store, holder, clock, **how) -> FencedLock:
+    return FencedLock(store, KEY, holder, APART_S, clock, **how)
 
 
 def test_a_heir_uses_it_only_once_it_has_waited(store, clock):
     first = right(store, "first", clock)
-    number = first.usable_number()
-    first.give_to("second")
-    assert first.number == 0
+    number = first.cached_token()
+    first.transfer_to("second")
+    assert first.fencing_token == 0
     second = right(store, "second", clock)
-    assert second.usable_number() == 0
+    assert second.cached_token() == 0
     clock.at += APART_S
-    assert second.usable_number() > number
+    assert second.cached_token() > number
 
 
 def test_a_heir_waits_whatever_the_first_ones_time_of_day_says(store, clock):
     first = right(store, "first", clock)
-    first.usable_number()
-    first.give_to("second")
+    first.cached_token()
+    first.transfer_to("second")
     clock.time_of_day = lambda: 1_700_000_000.0 + clock.at + 2.0  # the heir's box is ahead
     second = right(store, "second", clock)
-    second.usable_number()
+    second.cached_token()
     clock.at += APART_S - 0.1
-    assert second.usable_number() == 0
+    assert second.cached_token() == 0
 
 
 def test_what_was_given_up_to_nobody_is_taken_by_whoever_may(store, clock):
     first = right(store, "first", clock)
-    number = first.usable_number()
-    first.give_to("")
-    assert read_right(store.items[KEY].value).holder == ""
+    number = first.cached_token()
+    first.transfer_to("")
+    assert decode_lock_record(store.items[KEY].value).holder == ""
     asked = []
     second = right(store, "second", clock, may_take=lambda holder: not asked.append(holder))
-    second.usable_number()
+    second.cached_token()
     assert asked == [None, ""]
     clock.at += APART_S
-    assert second.usable_number() > number
+    assert second.cached_token() > number
 
 
 def test_who_may_not_take_it_is_asked_again_later(store, clock):
-    right(store, "first", clock).usable_number()
+    right(store, "first", clock).cached_token()
     second = right(store, "second", clock, may_take=lambda holder: holder is None)
-    assert second.usable_number() == 0
+    assert second.cached_token() == 0
     calls = store.calls
-    assert second.usable_number() == 0
+    assert second.cached_token() == 0
     assert store.calls == calls
-    clock.at += AGAIN_S
-    second.usable_number()
+    clock.at += RETRY_INTERVAL_S
+    second.cached_token()
     assert store.calls > calls
 
 
 def test_a_proof_asks_the_store(store, clock):
     first = right(store, "first", clock)
-    number = first.usable_number()
+    number = first.cached_token()
     calls = store.calls
-    assert first.usable_number() == number
+    assert first.cached_token() == number
     assert store.calls == calls
-    assert first.proven_number() == number
+    assert first.verified_token() == number
     assert store.calls == calls + 1
 
 
 def test_one_whose_store_does_not_answer_proves_nothing(store, clock):
     first = right(store, "first", clock)
-    first.usable_number()
+    first.cached_token()
 
     store.away = True
-    assert first.proven_number() == 0
+    assert first.verified_token() == 0
 
 
 steps = st.lists(
@@ -108,19 +108,19 @@
     proven_at: dict[int, float] = {}
     for box, what, seconds in rows:
         if what == "use":
-            boxes[box].usable_number()  # what is known, may be old; nobody acts by it alone
+            boxes[box].cached_token()  # what is known, may be old; nobody acts by it alone
         elif what == "prove":
-            number = boxes[box].proven_number()
+            number = boxes[box].verified_token()
             if number:
                 uses.append((clock.at, box, number))
                 others = [at for other, at in proven_at.items() if other != box]
                 assert all(clock.at - at >= APART_S for at in others)
                 proven_at[box] = clock.at
-        elif what == "give" and boxes[box].number:
+        elif what == "give" and boxes[box].fencing_token:
             try:
-                boxes[box].give_to(f"box-{(box + 1) % 3}")
+                boxes[box].transfer_to(f"box-{(box + 1) % 3}")
             except StoreError:
-                boxes[box].number = 0
+                boxes[box].fencing_token = 0
         elif what == "restart":
             boxes[box] = right(store, f"box-{box}", clock)
         elif what == "lose":
