--- a/tests/fleet/test_foreign_entries.py
+++ b/tests/fleet/test_foreign_entries.py
@@ -6,9 +6,9 @@
 import pytest
 
 from tests.entries import entry, entry_fields
-from threadramp.fleet import picture as picture_module
-from threadramp.fleet import readings as readings_module
-from threadramp.fleet.picture import Picture
+from threadramp.fleet import decode_cache as decode_cache_module
+from threadramp.fleet import fleet_view as fleet_view_module
+from threadramp.fleet.fleet_view import FleetView
 from threadramp.platform.store_model import Changes, Item, Listing, Removal
 
 PLACE = "10.0.0.1:80"
@@ -49,8 +49,8 @@
 
 
 @pytest.fixture
-def picture() -> Picture:
-    made = Picture()
+def fleet_view() -> FleetView:
+    made = FleetView()
     made.endpoints.replace(Listing((TRUE, OTHER), 4), 0.0)
     return made
 
@@ -58,80 +58,80 @@
 @pytest.fixture
 def told(monkeypatch) -> list[str]:
     rows: list[str] = []
-    for module in (picture_module, readings_module):
+    for module in (fleet_view_module, decode_cache_module):
         monkeypatch.setattr(module, "log_state", lambda what, **fields: rows.append(what))
     return rows
 
 
-def add(picture: Picture, item: Item) -> None:
-    picture.endpoints.apply(Changes((item,), (), item.revision), 0.0)
+def add(fleet_view: FleetView, item: Item) -> None:
+    fleet_view.endpoints.apply(Changes((item,), (), item.revision), 0.0)
 
 
 @pytest.mark.parametrize("fields", SPOILED.values(), ids=SPOILED.keys())
-def test_it_names_nobody_and_hides_nobody(picture, fields):
-    add(picture, spoiled("x", 9, fields))
-    assert sorted(picture.belief.endpoints) == ["i-1", "i-2"]
-    assert picture.belief.at_address(PLACE).instance == "i-1"
+def test_it_names_nobody_and_hides_nobody(fleet_view, fields):
+    add(fleet_view, spoiled("x", 9, fields))
+    assert sorted(fleet_view.snapshot.endpoints) == ["i-1", "i-2"]
+    assert fleet_view.snapshot.at_address(PLACE).instance == "i-1"
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"\xff\xfe", b"[]", b"null", b"7", b"[" * 100_000])
-def test_bytes_that_say_nothing_name_nobody(picture, value):
-    add(picture, Item("servers/x", value, 9))
-    assert sorted(picture.belief.endpoints) == ["i-1", "i-2"]
+def test_bytes_that_say_nothing_name_nobody(fleet_view, value):
+    add(fleet_view, Item("servers/x", value, 9))
+    assert sorted(fleet_view.snapshot.endpoints) == ["i-1", "i-2"]
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nHost: b", "i-\u00e9"])
-def test_an_id_that_no_header_can_carry_names_nobody(picture, key):
-    add(picture, spoiled(key, 9, {}))
-    assert sorted(picture.belief.endpoints) == ["i-1", "i-2"]
+def test_an_id_that_no_header_can_carry_names_nobody(fleet_view, key):
+    add(fleet_view, spoiled(key, 9, {}))
+    assert sorted(fleet_view.snapshot.endpoints) == ["i-1", "i-2"]
 
 
-def test_a_pool_that_is_not_declared_names_nobody_until_it_is(picture):
+def test_a_pool_that_is_not_declared_names_nobody_until_it_is(fleet_view):
     pool = {"name": "p"}
     first = Item("op/config", msgspec.json.encode({"version": 1, "backends": [pool]}), 5)
-    picture.operator.replace(Listing((first,), 5), 0.0)
-    add(picture, spoiled("x", 9, {"backend": "q", "address": PLACE}))
-    assert picture.belief.at_address(PLACE).instance == "i-1"
+    fleet_view.operator.replace(Listing((first,), 5), 0.0)
+    add(fleet_view, spoiled("x", 9, {"backend": "q", "address": PLACE}))
+    assert fleet_view.snapshot.at_address(PLACE).instance == "i-1"
     both = {"version": 2, "backends": [pool, {"name": "q"}]}
     second = Item("op/config", msgspec.json.encode(both), 10)
-    picture.operator.apply(Changes((second,), (), 10), 0.0)
-    assert picture.belief.at_address(PLACE).instance == "x"
+    fleet_view.operator.apply(Changes((second,), (), 10), 0.0)
+    assert fleet_view.snapshot.at_address(PLACE).instance == "x"
 
 
-def test_it_is_told_once_for_each_revision(picture, told):
+def test_it_is_told_once_for_each_revision(fleet_view, told):
     counted = []
-    picture.readings.on_unreadable = counted.append
-    add(picture, spoiled("x", 9, {"state": "fine"}))
-    add(picture, entry("i-3", "10.0.0.3:80", 10))
-    add(picture, entry("i-4", "10.0.0.4:80", 11))
+    fleet_view.decode_cache.on_unreadable = counted.append
+    add(fleet_view, spoiled("x", 9, {"state": "fine"}))
+    add(fleet_view, entry("i-3", "10.0.0.3:80", 10))
+    add(fleet_view, entry("i-4", "10.0.0.4:80", 11))
     assert told.count("endpoint_unreadable") == 1
-    add(picture, spoiled("x", 12, {"state": "fine"}))
+    add(fleet_view, spoiled("x", 12, {"state": "fine"}))
     assert told.count("endpoint_unreadable") == 2
     assert counted == ["endpoint", "endpoint"]
-    assert picture.readings.unreadable["servers/x"].revision == 12
+    assert fleet_view.decode_cache.unreadable["servers/x"].revision == 12
 
 
-def test_an_own_entry_that_becomes_unreadable_names_nobody_from_then_on(picture):
-    add(picture, spoiled("i-1", 9, {"slots": "many"}))
-    assert sorted(picture.belief.endpoints) == ["i-2"]
+def test_an_own_entry_that_becomes_unreadable_names_nobody_from_then_on(fleet_view):
+    add(fleet_view, spoiled("i-1", 9, {"slots": "many"}))
+    assert sorted(fleet_view.snapshot.endpoints) == ["i-2"]
 
 
-def test_nor_does_an_outage_bring_what_was_read_before_back(picture):
-    add(picture, spoiled("i-1", 9, {"slots": "many"}))
-    picture.endpoints.disturbed(12.5)
-    picture.endpoints.apply(Changes((), (Removal("servers/i-1", 10),), 10), 10.0)
-    assert sorted(picture.belief.endpoints) == ["i-2"]
-    picture.endpoints.expire(13.0)
-    assert sorted(picture.belief.endpoints) == ["i-2"]
+def test_nor_does_an_outage_bring_what_was_read_before_back(fleet_view):
+    add(fleet_view, spoiled("i-1", 9, {"slots": "many"}))
+    fleet_view.endpoints.disturbed(12.5)
+    fleet_view.endpoints.apply(Changes((), (Removal("servers/i-1", 10),), 10), 10.0)
+    assert sorted(fleet_view.snapshot.endpoints) == ["i-2"]
+    fleet_view.endpoints.expire(13.0)
+    assert sorted(fleet_view.snapshot.endpoints) == ["i-2"]
 
 
-def test_a_named_version_that_becomes_unreadable_stays_as_it_was(picture):
+def test_a_named_version_that_becomes_unreadable_stays_as_it_was(fleet_view):
     good = Item("op/version/m", b'{"model":"m","version":5}', 5)
-    picture.operator.replace(Listing((good,), 5), 0.0)
+    fleet_view.operator.replace(Listing((good,), 5), 0.0)
     for revision, value in ((6, b"{"), (7, b'{"model":"m","version":"6"}'), (8, b'{"version":6}')):
         item = Item("op/version/m", value, revision)
-        picture.operator.apply(Changes((item,), (), revision), 0.0)
-        assert picture.belief.newest_version("m") == 5
+        fleet_view.operator.apply(Changes((item,), (), revision), 0.0)
+        assert fleet_view.snapshot.newest_version("m") == 5
 
 
 @pytest.mark.parametrize(
@@ -144,6 +144,6 @@
         msgspec.msgpack.encode(["other", "sidecar", "1", "a:1", "a", ""]),
     ],
 )
-def test_a_member_that_cannot_be_asked_is_none(picture, value):
-    picture.members.replace(Listing((Item("member/s", value, 5),), 5), 0.0)
-    assert picture.belief.members == {}
+def test_a_member_that_cannot_be_asked_is_none(fleet_view, value):
+    fleet_view.members.replace(Listing((Item("member/s", value, 5),), 5), 0.0)
+    assert fleet_view.snapshot.members == {}
--- a/tests/fleet/test_late_relays.py
+++ b/tests/fleet/test_late_relays.py
@@ -9,7 +9,7 @@
 from tools.fleet import free_address
 
 from tests.holding import HoldingWay
-from threadramp.fleet.relaying import RELAY_TIMEOUT_S, StoreCalls, relay_through
+from threadramp.fleet.relaying import RELAY_TIMEOUT_S, StoreRelay, relay_through
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Call, Put, RawAnswer, Transaction
@@ -27,8 +27,8 @@
 
 
 @pytest.fixture
-def relay(clock, store_address) -> StoreCalls:
-    return StoreCalls(StoreClient(store_address, timeout_s=1.0), StoreHealth(clock))
+def relay(clock, store_address) -> StoreRelay:
+    return StoreRelay(StoreClient(store_address, timeout_s=1.0), StoreHealth(clock))
 
 
 @pytest.fixture
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from threadramp.fleet.fleet_view import Member
 from threadramp.fleet.membership import Membership
-from threadramp.fleet.picture import Member
 from threadramp.platform.store import StoreClient
 
 
@@ -43,7 +43,7 @@
     platform_store.faults["revoke"] = True
     platform_store.faults_changed()
     assert platform_store.data == {}
-    membership.not_listed()
+    membership.mark_unlisted()
     membership.turn()
     assert list(platform_store.data) == ["member/side-1"]
 
--- a/tests/fleet/test_sharing.py
+++ b/tests/fleet/test_mirror_sync.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from threadramp.fleet.picture import Picture
-from threadramp.fleet.sharing import MirrorSharing
+from threadramp.fleet.fleet_view import FleetView
+from threadramp.fleet.mirror_sync import MirrorSync
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store_model import Changes, Item, Listing, Removal
 from threadramp.wire.fleet import MirrorBeat, MirrorChanges
@@ -15,10 +15,10 @@
 PREFIX = "op/"
 
 
-def sharing(clock, listed: bool = True) -> MirrorSharing:
-    made = MirrorSharing(Picture(), StoreHealth(clock), clock)
+def sharing(clock, listed: bool = True) -> MirrorSync:
+    made = MirrorSync(FleetView(), StoreHealth(clock), clock)
     if listed:
-        made.picture.operator.replace(Listing((Item("op/x", b"1", 5),), 5), 0.0)
+        made.fleet_view.operator.replace(Listing((Item("op/x", b"1", 5),), 5), 0.0)
     return made
 
 
@@ -28,41 +28,43 @@
 
 def test_changes_that_follow_are_taken_at_once(clock):
     follower = sharing(clock)
-    follower.take_changes(changes(5, 7, Item("op/y", b"2", 7)))
-    assert sorted(follower.picture.operator.snapshot()) == ["op/x", "op/y"]
-    assert follower.picture.operator.revision == 7
+    follower.apply_changes(changes(5, 7, Item("op/y", b"2", 7)))
+    assert sorted(follower.fleet_view.operator.snapshot()) == ["op/x", "op/y"]
+    assert follower.fleet_view.operator.revision == 7
 
 
 def test_changes_that_came_before_are_passed_over(clock):
     follower = sharing(clock)
-    follower.take_changes(changes(3, 5, removals=[Removal("op/x", 5)]))
-    assert "op/x" in follower.picture.operator.snapshot()
+    follower.apply_changes(changes(3, 5, removals=[Removal("op/x", 5)]))
+    assert "op/x" in follower.fleet_view.operator.snapshot()
 
 
 def test_changes_behind_a_gap_wait_for_a_whole_copy(clock):
     follower = sharing(clock)
-    follower.take_changes(changes(6, 8, Item("op/y", b"2", 8)))
-    assert follower.picture.operator.revision == 5
+    follower.apply_changes(changes(6, 8, Item("op/y", b"2", 8)))
+    assert follower.fleet_view.operator.revision == 5
     watcher = sharing(clock)
-    watcher.picture.operator.apply(Changes((Item("op/y", b"2", 8),), (Removal("op/x", 6),), 8), 0.0)
+    watcher.fleet_view.operator.apply(
+        Changes((Item("op/y", b"2", 8),), (Removal("op/x", 6),), 8), 0.0
+    )
     follower.take_over(watcher.copy_for(MirrorBeat("f", "f:1", follower.revisions())))
-    assert sorted(follower.picture.operator.snapshot()) == ["op/y"]
+    assert sorted(follower.fleet_view.operator.snapshot()) == ["op/y"]
 
 
 def test_who_has_not_listed_takes_no_changes(clock):
     follower = sharing(clock, listed=False)
-    follower.take_changes(changes(0, 7, Item("op/y", b"2", 7)))
-    assert not follower.picture.operator.known
+    follower.apply_changes(changes(0, 7, Item("op/y", b"2", 7)))
+    assert not follower.fleet_view.operator.is_loaded
 
 
 def test_a_copy_says_how_long_ago_the_store_answered(clock):
     watcher = sharing(clock)
     beat = MirrorBeat("f", "f:1", {})
     assert watcher.copy_for(beat).confirmed_ago_s is None
-    watcher.health.answered(clock.now())
+    watcher.health.record_answer(clock.now())
     clock.at += 0.3
     assert watcher.copy_for(beat).confirmed_ago_s == pytest.approx(0.3)
-    watcher.health.failed(clock.now(), ValueError("away"))
+    watcher.health.record_failure(clock.now(), ValueError("away"))
     assert watcher.copy_for(beat).confirmed_ago_s is None
 
 
@@ -76,7 +78,7 @@
     on_the_way: list[MirrorChanges] = []
     revision = 5
     for _ in range(40):
-        before = watcher.picture.operator.revision
+        before = watcher.fleet_view.operator.revision
         revision += rng.randint(1, 3)
         key = f"op/{rng.randrange(6)}"
         if key in truth and rng.random() < 0.5:
@@ -86,13 +88,13 @@
             truth[key] = b"%d" % revision
             step = Changes((Item(key, truth[key], revision),), (), revision)
         held[revision] = dict(truth)
-        watcher.picture.operator.apply(step, 0.0)
+        watcher.fleet_view.operator.apply(step, 0.0)
         if rng.random() < 0.8:
             on_the_way.append(changes(before, revision, *step.items, removals=step.removals))
         rng.shuffle(on_the_way)
         while on_the_way and rng.random() < 0.6:
-            follower.take_changes(on_the_way.pop())
+            follower.apply_changes(on_the_way.pop())
         if rng.random() < 0.2:
             follower.take_over(watcher.copy_for(MirrorBeat("f", "f:1", follower.revisions())))
-        mirror = follower.picture.operator
+        mirror = follower.fleet_view.operator
         assert {key: item.value for key, item in mirror.snapshot().items()} == held[mirror.revision]
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
+from threadramp.fleet.fleet_view import FleetView, Member
 from threadramp.fleet.peers import GATEWAY_REMEMBERED_S, Peers
-from threadramp.fleet.picture import Member, Picture
-from threadramp.fleet.silence import SILENT_BEATS
 from threadramp.fleet.store_health import StoreHealth
+from threadramp.fleet.unresponsive_gateways import MAX_MISSED_BEATS
 from threadramp.platform.store_model import Item, Listing
 from threadramp.wire.fleet import MirrorBeat, MirrorCopy
 
@@ -33,8 +33,8 @@
 
 @pytest.fixture
 def peers(clock) -> Peers:
-    picture = Picture()
-    made = Peers(member("g0"), picture, Client(), StoreHealth(clock), clock)
+    fleet_view = FleetView()
+    made = Peers(member("g0"), fleet_view, Client(), StoreHealth(clock), clock)
     list_members(made, [member("g0"), member("g1"), member("g2"), member("s1", "sidecar")], 1)
     return made
 
@@ -43,7 +43,7 @@
     items = tuple(
         Item(f"member/{one.name}", msgspec.msgpack.encode(one), revision) for one in members
     )
-    peers.picture.members.replace(Listing(items, revision), 0.0)
+    peers.fleet_view.members.replace(Listing(items, revision), 0.0)
 
 
 def names(members: list[Member]) -> list[str]:
@@ -52,7 +52,7 @@
 
 def test_a_gateway_that_does_not_answer_counts_as_gone_though_it_is_listed(peers, clock):
     peers.client.down.add("g1:1")
-    for _ in range(SILENT_BEATS):
+    for _ in range(MAX_MISSED_BEATS):
         assert names(peers.live_gateways()) == ["g0", "g1", "g2"]
         clock.at += 0.5
         peers._beat_gateways()
@@ -64,7 +64,7 @@
 
 def test_its_next_process_is_not_silent(peers, clock):
     peers.client.down.add("g1:1")
-    for _ in range(SILENT_BEATS):
+    for _ in range(MAX_MISSED_BEATS):
         peers._beat_gateways()
     list_members(peers, [member("g0"), member("g1", incarnation="2"), member("g2")], 2)
     assert names(peers.live_gateways()) == ["g0", "g1", "g2"]
@@ -74,14 +74,14 @@
     """It may run lots whose end others write, and lists itself again only 2 s later."""
     list_members(peers, [member("g0"), member("g2")], 2)
     clock.at += GATEWAY_REMEMBERED_S - 0.1
-    assert names(peers.gateways_lately()) == ["g1", "g2"]
+    assert names(peers.recent_gateways()) == ["g1", "g2"]
     clock.at += 0.2
-    assert names(peers.gateways_lately()) == ["g2"]
+    assert names(peers.recent_gateways()) == ["g2"]
 
 
 def test_a_gateway_that_is_listed_is_known_however_long_nothing_was_heard_of_it(peers, clock):
     clock.at += 10 * GATEWAY_REMEMBERED_S
-    assert names(peers.gateways_lately()) == ["g1", "g2"]
+    assert names(peers.recent_gateways()) == ["g1", "g2"]
 
 
 def test_a_sidecar_that_lost_its_place_is_asked_on_while_it_answers(peers, clock):
@@ -89,7 +89,7 @@
     list_members(peers, [member("g0")], 2)
     for _ in range(20):
         clock.at += 0.5
-        peers.heard["s1:1"] = clock.at
+        peers.last_reply_at["s1:1"] = clock.at
         assert names(peers.sidecars()) == ["s1"]
     assert not peers.facts_for(member("s1", "sidecar")).listed
     clock.at += 5.1
@@ -97,14 +97,14 @@
 
 
 def test_a_gateway_behind_gets_what_it_has_not_seen(peers):
-    copy = peers.sharing.copy_for(MirrorBeat("g1", "g1:1", {"member/": 0}))
+    copy = peers.mirror_sync.copy_for(MirrorBeat("g1", "g1:1", {"member/": 0}))
     assert [item.key for item in copy.items["member/"]] == [
         "member/g0",
         "member/g1",
         "member/g2",
         "member/s1",
     ]
-    assert peers.sharing.copy_for(MirrorBeat("g1", "g1:1", {"member/": 1})).items == {}
+    assert peers.mirror_sync.copy_for(MirrorBeat("g1", "g1:1", {"member/": 1})).items == {}
 
 
 def test_a_process_that_is_missing_in_the_list_notices_after_a_while(peers, clock):
@@ -132,10 +132,10 @@
         2,
     )
     for address, at in (("g2:1", 1.0), ("g1:1", 2.0), ("s1:1", 3.0), ("s2:1", 4.0)):
-        peers.heard[address] = at
-    assert peers.ways_to_the_store() == ["g1:1", "s2:1", "g2:1", "s1:1"]
+        peers.last_reply_at[address] = at
+    assert peers.relay_addresses() == ["g1:1", "s2:1", "g2:1", "s1:1"]
 
 
 def test_without_other_gateways_sidecars_are_ways(peers):
     list_members(peers, [member("g0"), member("s1", "sidecar")], 2)
-    assert peers.ways_to_the_store() == ["s1:1"]
+    assert peers.relay_addresses() == ["s1:1"]
--- a/tests/fleet/test_lately.py
+++ b/tests/fleet/test_recent_members.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from tests.fleet.test_peers import member, names
-from threadramp.fleet.lately import Lately
+from threadramp.fleet.recent_members import RecentMembers
 
 KEPT_S = 5.0
 
 
 def test_a_member_is_known_for_a_while_after_it_was_listed():
-    lately = Lately(KEPT_S)
+    lately = RecentMembers(KEPT_S)
     lately.note([member("g2"), member("g1")], 100.0)
     lately.note([member("g1")], 103.0)
     assert names(lately.known({}, 104.9)) == ["g1", "g2"]
@@ -18,14 +18,14 @@
 
 
 def test_one_that_answers_stays_known():
-    lately = Lately(KEPT_S)
+    lately = RecentMembers(KEPT_S)
     lately.note([member("g1")], 100.0)
     assert names(lately.known({"g1:1": 107.0}, 110.0)) == ["g1"]
     assert lately.known({"g1:1": 107.0}, 112.1) == []
 
 
 def test_a_new_process_at_another_address_takes_the_place_of_the_one_before():
-    lately = Lately(KEPT_S)
+    lately = RecentMembers(KEPT_S)
     lately.note([member("g1")], 100.0)
     lately.note([member("g1", incarnation="2")], 101.0)
     (one,) = lately.known({}, 101.0)
@@ -34,7 +34,7 @@
 
 def test_what_a_changed_list_lacks_was_listed_until_the_change():
     """A gateway that was listed for 0.2 s, between two beats, was not remembered."""
-    lately = Lately(KEPT_S)
+    lately = RecentMembers(KEPT_S)
     lately.changed([member("g1"), member("g2")], 100.0)
     lately.changed([member("g2")], 160.0)
     assert names(lately.known({}, 164.9)) == ["g1", "g2"]
--- a/tests/fleet/test_watcher.py
+++ b/tests/fleet/test_watcher.py
@@ -61,13 +61,13 @@
 @pytest.fixture
 def health(clock) -> StoreHealth:
     made = StoreHealth(clock)
-    made.answered(clock.now())
+    made.record_answer(clock.now())
     return made
 
 
 @pytest.fixture
 def watcher(clock, health) -> Watcher:
-    made = Watcher(Mirror("servers/", holds_lapsed=True), Store(), health, clock, gathers=False)
+    made = Watcher(Mirror("servers/", holds_lapsed=True), Store(), health, clock, batches=False)
     made.stopped.wait = lambda seconds: None  # pauses take no time here
     return made
 
@@ -88,10 +88,10 @@
 
 
 def test_a_removal_right_after_an_outage_is_doubted_for_a_while(watcher, health, clock):
-    health.failed(clock.now(), StoreUnknownError("down"))
+    health.record_failure(clock.now(), StoreUnknownError("down"))
     turn(watcher, StoreUnknownError("cut"))
     clock.at += 4.0
-    health.answered(clock.now())
+    health.record_answer(clock.now())
     watcher.store.listing = Listing((), 7)
     turn(watcher, Changes((), (), 7))
     assert list(watcher.mirror.snapshot()) == ["servers/a"]
@@ -129,7 +129,9 @@
 
 def test_what_it_sees_is_told_to_those_that_follow(watcher):
     told = []
-    watcher.spread = lambda prefix, after, changes: told.append((prefix, after, changes.revision))
+    watcher.push_changes = lambda prefix, after, changes: told.append(
+        (prefix, after, changes.revision)
+    )
     turn(watcher, Changes((Item("servers/b", b"v", 6),), (), 6), Changes((), (), 9))
     assert told == [("servers/", 5, 6), ("servers/", 6, 9)]
 
@@ -147,7 +149,7 @@
 
     def cut(prefix, after, wait_s, line):
         clock.at += 11.0
-        health.answered(clock.now() - 0.3)
+        health.record_answer(clock.now() - 0.3)
         raise StoreUnknownError("no answer")
 
     watcher.store.watch = cut
@@ -171,7 +173,7 @@
 
 def test_a_watch_that_stays_out_makes_all_open_connections_suspect(watcher, health, clock):
     """Those of the other watches are as old, and theirs would stay out for as long again."""
-    other = Watcher(watcher.mirror, watcher.store, health, clock, gathers=False)
+    other = Watcher(watcher.mirror, watcher.store, health, clock, batches=False)
     turn(watcher, Changes((), (), 5))
     other.stale = False
     given_up = watcher.store.given_up
@@ -197,7 +199,7 @@
     clock.at += AWAY_S - 0.3
     watcher.store.listing = Listing((), 7)
     turn(watcher, StoreUnknownError("timed out"), Changes((), (), 7))
-    health.answered(clock.now())
+    health.record_answer(clock.now())
     assert watcher.mirror.snapshot() == {}
 
 
@@ -219,7 +221,7 @@
 def test_what_a_listing_shows_is_told_to_those_that_follow(watcher):
     told = []
     turn(watcher, Changes((), (), 5))
-    watcher.spread = lambda prefix, after, changes: told.append((after, changes))
+    watcher.push_changes = lambda prefix, after, changes: told.append((after, changes))
     turn(watcher, StoreUnknownError("cut"))
     watcher.store.listing = Listing((Item("servers/b", b"v", 8),), 9)
     turn(watcher, Changes((), (), 9))
@@ -267,7 +269,7 @@
     store = LateStore(clock, took_s)
     store.answers = [changes]
     mirror = Mirror("servers/", holds_lapsed=True)
-    watcher = Watcher(mirror, store, health, clock, gathers=False, wait_s=2.0)
+    watcher = Watcher(mirror, store, health, clock, batches=False, wait_s=2.0)
     asked_at = clock.now()
     watcher.one_turn()
     assert mirror.current_at == asked_at + shown_after_s
@@ -281,10 +283,12 @@
     store = Store()
     store.answers = [StoreUnknownError("cut"), Changes((), (Removal(ENTRY.key, 6),), 6)]
     mirror = Mirror("servers/", holds_lapsed=True)
-    watcher = Watcher(mirror, store, health, clock, gathers=False, peer_is_served=lambda: served)
+    watcher = Watcher(
+        mirror, store, health, clock, batches=False, peer_reaches_store=lambda: served
+    )
     watcher.stopped.set()  # no pause after the cut
-    health.failed(clock.now(), StoreUnknownError("turned away"))
+    health.record_failure(clock.now(), StoreUnknownError("turned away"))
     watcher.one_turn()
-    health.answered(clock.now())
+    health.record_answer(clock.now())
     watcher.one_turn()
     assert (ENTRY.key in mirror.snapshot()) is believed
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.core.test_lot_book import make_book, make_sample
+from threadramp.fleet.fleet_view import FleetView, Member
 from threadramp.fleet.peers import Peers
-from threadramp.fleet.picture import Member, Picture
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.lots.audit import LotAudit, lookers_for
 from threadramp.lots.end_notices import TOLD_FOR_S, EndNotices
@@ -66,7 +66,7 @@
 
     def __init__(self, name: str, client: LocalClient, clock, store_address: str) -> None:
         member = Member(name, "gateway", "1", f"{name}:1", "a", "")
-        self.picture = Picture()
+        self.picture = FleetView()
         self.journal = LotJournal(StoreClient(store_address, timeout_s=0.5))
         peers = Peers(member, self.picture, client, StoreHealth(clock), clock)
         self.owned = OwnedLots()
@@ -247,10 +247,10 @@
     owned = running.own()
     running.know("g0", "g1")
     client.silent.add("g0:1")
-    assert not running.owner._give_to(owned, running.picture.belief.members["g0"])
+    assert not running.owner._give_to(owned, running.picture.snapshot.members["g0"])
     assert running.owned.get("lot") is owned
     client.silent.clear()
-    assert running.owner._give_to(owned, running.picture.belief.members["g0"])
+    assert running.owner._give_to(owned, running.picture.snapshot.members["g0"])
     assert running.owned.get("lot") is None
     assert other.owned.get("lot") is not None
 
--- a/tests/lots/test_hurrying.py
+++ b/tests/lots/test_hurrying.py
@@ -8,7 +8,7 @@
 
 from tests.core.test_lot_book import make_book, make_sample, start
 from tests.policy.test_moves import view
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.lots.hurrying import AGAIN_S, HurriedLoads
 from threadramp.lots.model import KeptHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
@@ -19,7 +19,7 @@
 class Peers:
     """Notes what is asked."""
 
-    myself: tuple[str, str] = ("g0", "g0:1")
+    sender_fields: tuple[str, str] = ("g0", "g0:1")
     asked: list[dict[str, HurryLoad]] = field(default_factory=list)
 
     def ask_members(self, asks: list[tuple[Member, HurryLoad]], timeout_s: float) -> dict:
--- a/tests/lots/test_owner.py
+++ b/tests/lots/test_owner.py
@@ -7,8 +7,8 @@
 import pytest
 
 from tests.stores import MemoryStore
+from threadramp.fleet.fleet_view import Member
 from threadramp.fleet.model import PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Member
 from threadramp.lots.audit import LOOKERS, heir_of, is_look_due, lookers_for, regular_lookers
 from threadramp.lots.checkpoints import Checkpoints
 from threadramp.lots.journal import LotJournal
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -6,8 +6,8 @@
 import pytest
 
 from tests.core.test_lot_book import make_book, make_sample
+from threadramp.fleet.fleet_view import FleetView, Member
 from threadramp.fleet.peers import Peers
-from threadramp.fleet.picture import Member, Picture
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.lots.elsewhere import LotUnknownError
 from threadramp.lots.journal import LotJournal
@@ -54,7 +54,7 @@
         self.journal = LotJournal(StoreClient(store_address, timeout_s=0.5))
         self.book = make_book(*[make_sample(name, "g") for name in "abc"])
         self.kept = self.journal.create(self.book.lot, HEAD)
-        picture = Picture()
+        picture = FleetView()
         items = tuple(Item(f"member/{m.name}", msgspec.msgpack.encode(m), 1) for m in MEMBERS)
         picture.members.replace(Listing(items, 1), 0.0)
         self.client = Client()
--- a/tests/platform/test_readers.py
+++ b/tests/platform/test_readers.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from tests.entries import entry_fields
-from threadramp.fleet.picture import read_member
+from threadramp.fleet.fleet_view import read_member
 from threadramp.platform.documents import (
     DocumentError,
     is_address,
--- a/tests/policy/test_crash_book.py
+++ b/tests/policy/test_crash_book.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.policy.crash_book import (
     CRASHES_KEPT,
     FREE,
@@ -24,8 +24,8 @@
 OTHER = b"other-request-00"
 
 
-def start(number: int) -> Start:
-    return Start(f"i-{number}", 1)
+def start(number: int) -> Incarnation:
+    return Incarnation(f"i-{number}", 1)
 
 
 def crashed(count: int, fingerprint: bytes = ONE, at: float = NOW) -> CrashBook:
--- a/tests/policy/test_engine_host.py
+++ b/tests/policy/test_engine_host.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.policy.engine_host import host_of
 
 ENGINES = [f"10.0.{n // 250}.{n % 250}:80" for n in range(600)]
--- a/tests/policy/test_hidden_ends.py
+++ b/tests/policy/test_hidden_ends.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.policy.crash_book import CrashBook, Verdict
 from threadramp.policy.hidden_ends import (
     BEGUN_S,
@@ -99,13 +99,13 @@
     book = CrashBook()
     at = NOW
     for number, answers_first in rows:
-        start = Start(f"i-{number}", BORN)
+        start = Incarnation(f"i-{number}", BORN)
         book.crashed(ONE, start, at, listens=True)
         if answers_first:  # an answer to another request, before it is settled
             book.lives(start, at + 0.1)
         at += 0.2
     for number, _ in rows:
-        book.lived_on(Start(f"i-{number}", BORN), at + 0.1, BORN)
+        book.lived_on(Incarnation(f"i-{number}", BORN), at + 0.1, BORN)
     assert book.ruling(ONE, at + 0.2).verdict is Verdict.FREE
 
 
@@ -114,7 +114,7 @@
     """The next start answers under the same id; that says nothing of the one before."""
     book = CrashBook()
     for number in order:
-        start = Start(f"i-{number}", BORN)
+        start = Incarnation(f"i-{number}", BORN)
         book.crashed(ONE, start, NOW, listens=True)
         book.proven(ONE, start, NOW, BORN + 1)
         if answers:
@@ -127,7 +127,7 @@
 def test_an_answer_takes_back_what_nobody_settled():
     """The box that saw the break was lost before it knew."""
     book = CrashBook()
-    start = Start("i-0", BORN)
+    start = Incarnation("i-0", BORN)
     book.crashed(ONE, start, NOW, listens=True)
     assert not book.lives(start, NOW + 5.0)
     assert book.lives(start, NOW + 11.0)
@@ -136,7 +136,7 @@
 
 def test_each_start_behind_one_entry_counts_for_itself():
     book = CrashBook()
-    listed = Start("i-0", BORN)
+    listed = Incarnation("i-0", BORN)
     for number in range(3):
         start = book.current(listed)
         assert start.born == BORN + number
@@ -147,13 +147,13 @@
 
 def test_what_one_box_proved_another_is_told_with_the_birth():
     here, there = CrashBook(), CrashBook()
-    start = Start("i-0", BORN)
+    start = Incarnation("i-0", BORN)
     here.crashed(ONE, start, NOW, listens=True)
     there.merge(here.take_news(), NOW)
     assert there.ended_before(start, NOW + 0.1)
     here.proven(ONE, start, NOW, BORN + 7)
     there.merge(here.take_news(), NOW)
-    assert there.current(start) == Start("i-0", BORN + 7)
+    assert there.current(start) == Incarnation("i-0", BORN + 7)
     assert not there.ended_before(there.current(start), NOW + 0.1)
     assert there.ruling(ONE, NOW).crashes == 1
 
@@ -163,8 +163,8 @@
     known = Births()
     known.note("i-0", BORN)
     known.note("i-0", told)
-    assert known.current(Start("i-0", BORN - 2)) == Start("i-0", BORN)
-    assert known.current(Start("i-0", BORN + 2)) == Start("i-0", BORN + 2)
+    assert known.current(Incarnation("i-0", BORN - 2)) == Incarnation("i-0", BORN)
+    assert known.current(Incarnation("i-0", BORN + 2)) == Incarnation("i-0", BORN + 2)
 
 
 def test_births_are_bounded():
@@ -172,4 +172,4 @@
     for number in range(BIRTHS_MOST + 5):
         known.note(f"i-{number}", BORN)
     assert len(known.newest) == BIRTHS_MOST
-    assert known.current(Start("i-0", 1)).born == 1
+    assert known.current(Incarnation("i-0", 1)).born == 1
--- a/tests/policy/test_moves.py
+++ b/tests/policy/test_moves.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.policy import moves
 from threadramp.policy.moves import RunningSample, to_faster
 from threadramp.policy.sample_placement import RunnerView
--- a/tests/policy/test_sample_placement.py
+++ b/tests/policy/test_sample_placement.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.policy.sample_placement import RunnerView, place
 from threadramp.wire.runner import ANY_MODEL, RunnerStatus
 
--- a/tests/policy/test_scaling.py
+++ b/tests/policy/test_scaling.py
@@ -14,7 +14,7 @@
 from threadramp.fleet.model import Autoscale
 from threadramp.policy.scaling import LOWER_AFTER_S, Demand, Scaling
 
-BOUNDS = Autoscale(least=2, most=20, boot_s=30.0)
+BOUNDS = Autoscale(min_replicas=2, max_replicas=20, boot_s=30.0)
 SLOTS = 8
 LOOK_S = 5.0
 DAY_S = 3600.0  # a day's wave, shortened
@@ -35,13 +35,15 @@
     def decide(self, demands, now):
         found = {}
         for name, one in demands.items():
-            found[name] = min(BOUNDS.most, max(BOUNDS.least, ceil(one.busy / one.slots)))
+            found[name] = min(
+                BOUNDS.max_replicas, max(BOUNDS.min_replicas, ceil(one.busy / one.slots))
+            )
         return found
 
 
 class AtTheMost:
     def decide(self, demands, now):
-        return dict.fromkeys(demands, BOUNDS.most)
+        return dict.fromkeys(demands, BOUNDS.max_replicas)
 
 
 def play(way, load, silent=(0.0, 0.0)):
@@ -96,7 +98,7 @@
 
 def test_the_bounds_hold_whatever_the_demand():
     scaling = Scaling(BOUNDS)
-    for busy, wanted in ((0.0, BOUNDS.least), (10_000.0, BOUNDS.most)):
+    for busy, wanted in ((0.0, BOUNDS.min_replicas), (10_000.0, BOUNDS.max_replicas)):
         scaling = Scaling(BOUNDS)
         found = {}
         for turn in range(40):
@@ -111,12 +113,12 @@
     found = {}
     for turn in range(1, int(LOWER_AFTER_S / LOOK_S) + 1):
         found = scaling.decide({"dc-a": Demand(0.0, 10, SLOTS)}, turn * LOOK_S)
-    assert found == {"dc-a": BOUNDS.least}
+    assert found == {"dc-a": BOUNDS.min_replicas}
 
 
 def test_one_data_centre_that_has_its_most_is_helped_by_another():
     found = Scaling(BOUNDS).decide(
         {"dc-a": Demand(140.0, 20, SLOTS), "dc-b": Demand(10.0, 2, SLOTS)}, 0.0
     )
-    assert found["dc-a"] == BOUNDS.most
-    assert found["dc-b"] > BOUNDS.least
+    assert found["dc-a"] == BOUNDS.max_replicas
+    assert found["dc-b"] > BOUNDS.min_replicas
--- a/tests/policy/test_watch_share.py
+++ b/tests/policy/test_watch_share.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.fleet.picture import Member
+from threadramp.fleet.fleet_view import Member
 from threadramp.policy.watch_share import WATCHERS, leaders_of, watchers_in
 
 
--- a/tests/runner/test_hosting.py
+++ b/tests/runner/test_hosting.py
@@ -12,8 +12,8 @@
 
 import pytest
 
+from threadramp.fleet.fleet_view import FleetSnapshot, Member
 from threadramp.fleet.model import Endpoint
-from threadramp.fleet.picture import Belief, Member
 from threadramp.runner.hosting import BARE_S, HostedRunners
 
 ENGINE = Endpoint("i-1", "p", "10.0.0.9:80", "a", 6)
@@ -21,16 +21,18 @@
 
 @pytest.fixture
 def members():
-    return SimpleNamespace(known=False)
+    return SimpleNamespace(is_loaded=False)
 
 
 @pytest.fixture
 def hosting(clock, members) -> HostedRunners:
     me = Member("front-0", "gateway", "i", "10.0.0.1:1", "a", "")
     peers = SimpleNamespace(
-        picture=SimpleNamespace(members=members, belief=Belief(endpoints={"i-1": ENGINE})),
+        fleet_view=SimpleNamespace(
+            members=members, snapshot=FleetSnapshot(endpoints={"i-1": ENGINE})
+        ),
         member=me,
-        heard={},
+        last_reply_at={},
         sidecars=list,
         live_gateways=lambda: [me],
     )
@@ -38,7 +40,7 @@
 
 
 def falls_here(hosting: HostedRunners) -> bool:
-    belief = hosting.peers.picture.belief
+    belief = hosting.peers.fleet_view.snapshot
     hosting._note_covered(belief)
     return hosting._falls_here(ENGINE, belief)
 
@@ -52,7 +54,7 @@
 def test_an_engine_is_bare_a_while_after_the_list_of_members_came(hosting, members, clock):
     clock.at += 10.0
     assert not falls_here(hosting)
-    members.known = True
+    members.is_loaded = True
     clock.at += BARE_S - 0.1
     assert not falls_here(hosting)
     clock.at += 0.2
--- a/tests/runner/test_starts.py
+++ b/tests/runner/test_starts.py
@@ -6,7 +6,7 @@
 
 from tests.runner.test_weights import facts
 from threadramp.fleet.clock import Clock
-from threadramp.fleet.model import Start, WeightTarget
+from threadramp.fleet.model import Incarnation, WeightTarget
 from threadramp.runner.engine import Engine
 
 LOAD = WeightTarget("m", 2, 10)
@@ -21,7 +21,7 @@
 
 def test_a_start_that_was_over_may_come_back_under_its_id(own_engine):
     own_engine.read_report()
-    own_engine.is_another(Start("i-1", 1000))
+    own_engine.is_another(Incarnation("i-1", 1000))
     assert not own_engine.is_known
     own_engine.learn(facts(born=2000, endpoints_revision=2))
     assert own_engine.is_known
@@ -34,7 +34,7 @@
     engine.start_again(born=2000)
     own_engine.read_report()
     assert own_engine.ordered is None
-    assert own_engine.start == Start("i-1", 2000)
+    assert own_engine.start == Incarnation("i-1", 2000)
 
 
 def test_a_count_that_falls_is_a_new_start_also_where_none_tells_its_birth(own_engine, engine):
@@ -54,7 +54,7 @@
     assert told == []
     engine.start_again(born=2000)
     own_engine.read_report()
-    assert told == [Start("i-1", 2000)]
+    assert told == [Incarnation("i-1", 2000)]
 
 
 def test_speed_and_connections_of_the_start_before_are_forgotten(own_engine, engine):
@@ -70,7 +70,7 @@
     own_engine.learn(facts(born=2000, endpoints_revision=2))
     own_engine.learn(facts(born=1000, endpoints_revision=3))
     own_engine.learn(facts(born=1000, endpoints_revision=1))
-    assert own_engine.start == Start("i-1", 2000)
+    assert own_engine.start == Incarnation("i-1", 2000)
 
 
 def test_a_report_of_an_older_start_says_nothing(own_engine, engine):
--- a/tests/runner/test_taken_over.py
+++ b/tests/runner/test_taken_over.py
@@ -25,12 +25,12 @@
     """
     store = MemoryStore()
     for holder in ("side", "front"):
-        order_right(store, engine_address, holder, APART_S, clock).proven_number()
+        order_right(store, engine_address, holder, APART_S, clock).verified_token()
     clock.at += 10.0
     front = order_right(store, engine_address, "front", APART_S, clock)
-    front.proven_number()
+    front.verified_token()
     clock.at += 10.0
-    assert front.proven_number()  # its wait is over, it has not ordered yet
+    assert front.verified_token()  # its wait is over, it has not ordered yet
     again = order_right(store, engine_address, "front", APART_S, clock)
     mine = Engine(engine_address, "p", "front", Clock())
     mine.learn(facts(version=2))
--- a/tests/runner/test_weights.py
+++ b/tests/runner/test_weights.py
@@ -19,17 +19,17 @@
     """The right to order, held under a number."""
 
     def __init__(self, number: int = 10):
-        self.number = number
-        self.shared = False
+        self.fencing_token = number
+        self.had_previous_holder = False
         self.proven = True
 
-    def proven_number(self) -> int:
-        return self.number
+    def verified_token(self) -> int:
+        return self.fencing_token
 
-    def still_proven(self) -> bool:
+    def is_verified(self) -> bool:
         return self.proven
 
-    def shown_ago_s(self) -> float:
+    def verified_ago_s(self) -> float:
         return 0.0
 
 
@@ -73,7 +73,7 @@
     sidecar_engine.learn(facts(version=2))
     until = time.monotonic() + ModelShare({"m": 0}).new_s(1) + 0.5
     turn_until(weights, lambda: time.monotonic() > until)
-    right.number = 10
+    right.fencing_token = 10
     turn_until(weights, lambda: engine.versions["m"] == 2)
     assert len(engine.orders) == 1
 
@@ -121,7 +121,7 @@
     weights.turn()
     assert engine.orders == []
     assert sidecar_engine.is_ready  # samples run on meanwhile
-    right.number = 50
+    right.fencing_token = 50
     turn_until(weights, lambda: engine.orders)
     assert engine.orders[0]["fence"] == 50
 
@@ -212,7 +212,7 @@
 ):
     """One that stood still may come to the order of the holder before only after that."""
     right = Right()
-    right.shared = True
+    right.had_previous_holder = True
     sidecar_engine.learn(facts(version=2))
     weights = Weights(sidecar_engine, Clock(), right)
     began = time.monotonic()
--- a/tests/serve/test_answers.py
+++ b/tests/serve/test_answers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.fleet.relaying import StoreCalls
+from threadramp.fleet.relaying import StoreRelay
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Call
@@ -17,7 +17,7 @@
 @pytest.fixture
 def answers(clock, store_address) -> GatewayAnswers:
     store = StoreClient(store_address, timeout_s=0.5)
-    return GatewayAnswers(None, None, None, StoreCalls(store, StoreHealth(clock)))
+    return GatewayAnswers(None, None, None, StoreRelay(store, StoreHealth(clock)))
 
 
 def test_a_call_is_passed_on(answers):
@@ -34,6 +34,6 @@
 
 
 def test_a_gateway_without_a_way_says_so_at_once(answers, clock):
-    answers.store_calls.health.failed(clock.now(), ValueError("away"))
+    answers.store_calls.health.record_failure(clock.now(), ValueError("away"))
     assert answers.handle(ASK) == StoreAnswered(None)
     assert answers.store_calls.store.calls == 0
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -42,7 +42,7 @@
 NAMES = "src/threadramp/lots/names.py"
 HEADS = "src/threadramp/edge/heads.py"
 REPORTS = "src/threadramp/duties/usage_reports.py"
-RIGHTS = "src/threadramp/fleet/rights.py"
+RIGHTS = "src/threadramp/fleet/fenced_lock.py"
 WEIGHTS = "src/threadramp/runner/weights.py"
 LATE_BYTES = "src/threadramp/wire/late_bytes.py"
 RUNNER_ENGINE = "src/threadramp/runner/engine.py"
@@ -349,17 +349,15 @@
         "the wait of the next holder",
         "another_holder_has_a_higher_number_and_waits",
         RIGHTS,
-        "first_use_at = self.clock.now() + self.hand_over_s",
+        "first_use_at = self.clock.now() + self.takeover_delay_s",
         "first_use_at = 0.0",
     ),
     Removal(
         "the store's word for each order",
         "sidecar_that_stood_still_does_not_order",
         (
-            Edit(WEIGHTS, "self.right.proven_number()", "self.right.usable_number()"),
-            Edit(
-                WEIGHTS, "report.orders, self.right.still_proven)", "report.orders, lambda: True)"
-            ),
+            Edit(WEIGHTS, "self.right.verified_token()", "self.right.cached_token()"),
+            Edit(WEIGHTS, "report.orders, self.right.is_verified)", "report.orders, lambda: True)"),
         ),
     ),
     Removal.of_one(
@@ -373,7 +371,7 @@
         "the age of the store's word",
         "answer_that_lay_here_proves_nothing",
         RIGHTS,
-        "and self.shown_ago_s() <= PROVEN_S",
+        "and self.verified_ago_s() <= VERIFICATION_TTL_S",
         "",
     ),
     Removal.of_one(
@@ -388,7 +386,7 @@
         "store_does_late_is_waited_for",
         RIGHTS,
         "found.revision, held, asked_at",
-        "found.revision, HeldRight(held.holder, False), asked_at",
+        "found.revision, LockRecord(held.holder, False), asked_at",
     ),
     Removal.of_one(
         "the middle of several clocks",
