--- a/src/threadramp/fleet/__init__.py
+++ b/src/threadramp/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What one process believes about the fleet: configuration, endpoints, members, weights."""
+"""A process's view of the fleet: configuration, endpoints, members and weight versions."""
--- a/src/threadramp/fleet/box_retirement.py
+++ b/src/threadramp/fleet/box_retirement.py
@@ -1,7 +1,7 @@
-"""Answers the operator's wish to empty a box with a disk.
+"""Answers an operator's request to retire a box with a disk.
 
-Such boxes keep nothing, so that there is nothing to move: the wish is answered as soon as it is
-seen, by the gateway that the box's name falls to, and by the others if that one does not.
+threadramp stores nothing on such boxes, so there is nothing to move: a request is confirmed as soon
+as it is seen, by the gateway that rendezvous hashing picks for the box, or else by the next ones.
 """
 
 from __future__ import annotations
@@ -20,56 +20,56 @@
     from threadramp.fleet.model import RetireRequest
     from threadramp.platform.store import StoreClient
 
-LOOK_S = 0.5
-TURN_S = 2.0  # the next gateway answers if the one before it did not within this time
+POLL_INTERVAL_S = 0.5
+TAKEOVER_INTERVAL_S = 2.0  # after this time without an answer, the next gateway answers
 
 
 class BoxRetirement:
-    """Answers wishes to empty a box, each once."""
+    """Confirms each request to retire a box once."""
 
     def __init__(self, name: str, fleet_view: FleetView, store: StoreClient) -> None:
         self.name = name
         self.fleet_view = fleet_view
         self.store = store
         self.answered: set[tuple[str, int]] = set()
-        self.seen: dict[tuple[str, int], int] = {}
+        self.polls: dict[tuple[str, int], int] = {}
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start looking for wishes."""
+        """Start polling for requests."""
         start_loop(self._run, self.stopped)
 
     def _run(self) -> None:
-        while not self.stopped.wait(LOOK_S):
-            for wish in self.fleet_view.snapshot.retire_requests:
-                self._look_at(wish)
+        while not self.stopped.wait(POLL_INTERVAL_S):
+            for request in self.fleet_view.snapshot.retire_requests:
+                self._handle(request)
 
-    def _look_at(self, wish: RetireRequest) -> None:
-        known = (wish.box, wish.revision)
-        if known in self.answered:
+    def _handle(self, request: RetireRequest) -> None:
+        request_id = (request.box, request.revision)
+        if request_id in self.answered:
             return
-        looks = self.seen.get(known, 0)
-        self.seen[known] = looks + 1
+        polled = self.polls.get(request_id, 0)
+        self.polls[request_id] = polled + 1
         gateways = [one.name for one in self.fleet_view.snapshot.gateways()]
-        order = rendezvous(wish.box, gateways)
-        place = order.index(self.name) if self.name in order else len(order)
-        if looks * LOOK_S < place * TURN_S:
+        order = rendezvous(request.box, gateways)
+        position = order.index(self.name) if self.name in order else len(order)
+        if polled * POLL_INTERVAL_S < position * TAKEOVER_INTERVAL_S:
             return
-        key = EMPTY_STATUS_PREFIX + wish.box
+        key = EMPTY_STATUS_PREFIX + request.box
         try:
-            if place and self._is_answered(key, wish):
-                self.answered.add(known)
+            if position and self._is_answered(key, request):
+                self.answered.add(request_id)
                 return
             self.store.transact(Transaction(puts=(Put(key, empty_status(True)),)), repeatable=True)
         except StoreError as error:
-            log_state("emptying_not_answered", box=wish.box, error=str(error))
+            log_state("retirement_not_confirmed", box=request.box, error=str(error))
             return
-        self.answered.add(known)
-        log_state("box_emptied", box=wish.box, revision=wish.revision)
+        self.answered.add(request_id)
+        log_state("box_retired", box=request.box, revision=request.revision)
 
-    def _is_answered(self, key: str, wish: RetireRequest) -> bool:
+    def _is_answered(self, key: str, request: RetireRequest) -> bool:
         status = self.store.get(key)
-        return status is not None and status.revision > wish.revision
+        return status is not None and status.revision > request.revision
 
 
 __all__ = ["BoxRetirement"]
--- a/src/threadramp/fleet/clock.py
+++ b/src/threadramp/fleet/clock.py
@@ -1,8 +1,8 @@
-"""The clocks of a process, in one place so that tests can set them.
+"""The clocks of a process, behind one interface so that tests can set them.
 
-Ages, leases and deadlines are compared with what other boxes do in real time. So they are measured
-with the clock that counts on while a box is suspended: with the other steady clock a process takes
-what it knew before for fresh, and goes on with what others have long taken over.
+Ages, leases and deadlines are compared with what other boxes do in real time. So they use the boot
+time clock, which keeps running while a box is suspended. With the monotonic clock, a process would
+treat its old state as fresh after a suspension, and continue work that others have taken over.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def steady_s() -> float:
-    """Return seconds that only rise, those included for which the box was suspended."""
+    """Return seconds of a steady clock, including the time that the box was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -19,7 +19,7 @@
     """Real clocks."""
 
     def now(self) -> float:
-        """Return seconds that only rise, those included for which the box was suspended."""
+        """Return seconds of a steady clock, including the time that the box was suspended."""
         return steady_s()
 
     def time_of_day(self) -> float:
--- a/src/threadramp/fleet/crash_sharing.py
+++ b/src/threadramp/fleet/crash_sharing.py
@@ -1,9 +1,9 @@
-"""Tells the other gateways under which requests endpoints ended, and keeps it beyond this process.
+"""Shares which requests crash endpoints with the other gateways, and persists it in the store.
 
-Gateways tell each other at once. The store has what outlasts them and reaches those that a peer
-can not tell: what is near a verdict, and all that a peer did not take. It lies beside the list of
-members, which every gateway lists at its start and hears of already, so it costs no call on a day
-on which nothing ends.
+Gateways send updates to each other at once. The store holds what must survive restarts and reach
+gateways that a peer cannot reach: suspects that are close to being refused, and every update that
+a peer did not accept. It is stored beside the member list, which every gateway lists at its start
+and watches anyway, so it costs no store calls on a day without crashes.
 """
 
 from __future__ import annotations
@@ -39,18 +39,18 @@
     from threadramp.wire.crashes import Suspect
     from threadramp.wire.fleet import Acquit
 
-GATHER_S = 0.02  # all requests of an endpoint break at once; they go in one message
-TELL_TIMEOUT_S = 0.4
-KEEP_AGAIN_S = 1.0  # after a write that brought no answer
-LOOK_S = 30.0  # how often what is old is forgotten
+BATCH_WINDOW_S = 0.02  # all requests of an endpoint break at once; they are sent in one message
+SEND_TIMEOUT_S = 0.4
+RETRY_INTERVAL_S = 1.0  # after a write that got no answer
+EXPIRY_INTERVAL_S = 30.0  # how often old suspects are removed
 
-decode_news = msgspec.msgpack.Decoder(CrashNews).decode
+decode_update = msgspec.msgpack.Decoder(CrashNews).decode
 
 
 class CrashSharing:
-    """Shares the book of one gateway.
+    """Shares the crash records of one gateway.
 
-    :param box: name under which this process keeps its part in the store
+    :param box: name under which this process stores its records
     """
 
     def __init__(
@@ -70,43 +70,43 @@
         self.key = CRASHES_PREFIX + box
         self.lease = 0
         self.leased_at = 0.0
-        self.kept = CrashNews()
-        self.untaken: dict[bytes, Suspect] = {}
+        self.persisted = CrashNews()
+        self.undelivered: dict[bytes, Suspect] = {}
         self.pending = False
-        self.is_listed = False
-        self.read: dict[str, int] = {}
-        self.woken = threading.Event()
+        self.entry_listed = False
+        self.read_revisions: dict[str, int] = {}
+        self.wake = threading.Event()
         self.stopped = threading.Event()
-        book.on_news = self.woken.set
-        peers.fleet_view.members.listeners.append(self.read_kept)
+        book.on_news = self.wake.set
+        peers.fleet_view.members.listeners.append(self.load_persisted)
 
     def start(self) -> None:
-        """Start telling."""
+        """Start the sending thread."""
         start_loop(self._run, self.stopped)
 
     def receive(self, ask: CrashesTold) -> Done:
-        """Take over what another gateway saw."""
+        """Merge the crash records that another gateway sent."""
         self._merge(ask.news, ask.sender)
         return Done()
 
     def acquit(self, ask: Acquit) -> Believed:
-        """Let a request go on, at all gateways, because an operator says so."""
+        """Clear a suspect request at all gateways on an operator's order."""
         found = self.book.find(ask.request)
         done = found is not None and self.book.ran_well(found.fingerprint, self.clock.time_of_day())
-        log_state("acquitted_by_operator", fingerprint=ask.request, done=done)
-        told = "acquitted" if done else "nothing is held against it"
-        return Believed((Fact("request", told, "an operator", None),))
+        log_state("suspect_cleared_by_operator", fingerprint=ask.request, done=done)
+        status = "acquitted" if done else "nothing is held against it"
+        return Believed((Fact("request", status, "an operator", None),))
 
     def claim_trial(self, fingerprint: bytes, trial: int) -> bool:
-        """Return whether this process may make a trial; of all processes one is told so.
+        """Return whether this process may run a trial; true for one process in the fleet.
 
-        Where the store does not tell, nobody may.
+        Without an answer of the store no process may.
         """
-        if self.health.is_away:
+        if self.health.is_unreachable:
             return False
         key = f"{TRIALS_PREFIX}{fingerprint.hex()}/{trial}"
         try:
-            put = Put(key, encode(self.peers.member.name), self._granted())
+            put = Put(key, encode(self.peers.member.name), self._ensure_lease())
             answer = self.store.transact(Transaction(expected={key: ABSENT}, puts=(put,)))
         except StoreError as error:
             log_state("trial_not_claimed", fingerprint=shown(fingerprint), error=str(error))
@@ -115,30 +115,33 @@
             return True
         if isinstance(answer, LeaseGone):
             self.lease = 0
-        else:  # another one has it
+        else:  # another process claimed it
             self.book.tried(fingerprint, trial, self.clock.time_of_day())
         return False
 
-    def turn(self) -> None:
-        """Tell what is new, and keep what has to outlast this process."""
+    def run_once(self) -> None:
+        """Send new records to peers, and persist those that must survive this process."""
         self.book.expire(self.clock.time_of_day())
         news = self.book.take_news()
-        if news and not self._tell(news):
-            self.untaken |= {one.fingerprint: one for one in news.suspects}
-        wanted = self.book.to_keep()
-        if self.untaken or wanted.suspects != self.kept.suspects:
-            self._keep(wanted)
-
-    def read_kept(self) -> None:
-        """Take over what other gateways, and this box before its last start, kept in the store."""
+        if news and not self._send(news):
+            self.undelivered |= {one.fingerprint: one for one in news.suspects}
+        to_persist = self.book.to_keep()
+        if self.undelivered or to_persist.suspects != self.persisted.suspects:
+            self._persist(to_persist)
+
+    def load_persisted(self) -> None:
+        """Merge what other gateways, and this box before its restart, persisted in the store."""
         items = self.peers.fleet_view.members.snapshot()
-        self._check_listed(self.key in items)
+        self._check_entry_listed(self.key in items)
         for key, item in items.items():
-            if not key.startswith(CRASHES_PREFIX) or self.read.get(key, 0) >= item.revision:
+            if (
+                not key.startswith(CRASHES_PREFIX)
+                or self.read_revisions.get(key, 0) >= item.revision
+            ):
                 continue
-            self.read[key] = item.revision
+            self.read_revisions[key] = item.revision
             try:
-                news = decode_news(item.value)
+                news = decode_update(item.value)
             except msgspec.DecodeError as error:
                 log_state("crashes_unreadable", key=key, revision=item.revision, error=str(error))
                 continue
@@ -146,54 +149,56 @@
             if key == self.key:
                 self.book.was_own(news)
 
-    def _check_listed(self, is_listed: bool) -> None:
-        """Write this box's part again where the store has lost it; its lease may be taken away."""
-        was_listed, self.is_listed = self.is_listed, is_listed
-        if was_listed and not is_listed and self.kept:
-            log_state("crashes_not_listed", requests=len(self.kept.suspects))
-            self.kept = CrashNews()
+    def _check_entry_listed(self, entry_listed: bool) -> None:
+        """Write this box's records again if the store lost them, such as by a revoked lease."""
+        was_listed, self.entry_listed = self.entry_listed, entry_listed
+        if was_listed and not entry_listed and self.persisted:
+            log_state("crashes_entry_missing", requests=len(self.persisted.suspects))
+            self.persisted = CrashNews()
             self.lease = 0
-            self.woken.set()
+            self.wake.set()
 
     def _run(self) -> None:
         while not self.stopped.is_set():
-            self.woken.wait(KEEP_AGAIN_S if self.pending else LOOK_S)
-            self.woken.clear()
-            self.stopped.wait(GATHER_S)
-            self.turn()
+            self.wake.wait(RETRY_INTERVAL_S if self.pending else EXPIRY_INTERVAL_S)
+            self.wake.clear()
+            self.stopped.wait(BATCH_WINDOW_S)
+            self.run_once()
 
     def _merge(self, news: CrashNews, source: str) -> None:
         for fingerprint in self.book.merge(news, self.clock.time_of_day()):
-            log_state("refused_from_now", fingerprint=shown(fingerprint), told_by=source)
+            log_state("suspect_refused", fingerprint=shown(fingerprint), reported_by=source)
 
-    def _tell(self, news: CrashNews) -> bool:
-        """Tell the other gateways; true if all of them took it."""
+    def _send(self, news: CrashNews) -> bool:
+        """Send updates to the other gateways; return whether all of them accepted them."""
         ask = CrashesTold(*self.peers.sender_fields, news)
         asks = {one.address: ask for one in self.peers.recent_gateways()}
-        replies = self.peers.ask_all(asks, TELL_TIMEOUT_S) if asks else {}
+        replies = self.peers.ask_all(asks, SEND_TIMEOUT_S) if asks else {}
         return len(replies) == len(asks)
 
-    def _keep(self, wanted: CrashNews) -> None:
-        """Write this box's part to the store, with what a peer did not take."""
-        named = {one.fingerprint for one in wanted.suspects}
-        rest = [one for key, one in self.untaken.items() if key not in named]
+    def _persist(self, to_persist: CrashNews) -> None:
+        """Write this box's records to the store, including those that a peer did not accept."""
+        named = {one.fingerprint for one in to_persist.suspects}
+        rest = [one for key, one in self.undelivered.items() if key not in named]
         self.pending = True
         try:
-            put = Put(self.key, encode(CrashNews((*wanted.suspects, *rest))), self._granted())
+            put = Put(
+                self.key, encode(CrashNews((*to_persist.suspects, *rest))), self._ensure_lease()
+            )
             answer = self.store.transact(Transaction(puts=(put,)), repeatable=True)
         except StoreError as error:
-            log_state("crashes_not_kept", requests=len(named) + len(rest), error=str(error))
+            log_state("crashes_not_persisted", requests=len(named) + len(rest), error=str(error))
             return
         if isinstance(answer, LeaseGone):
             self.lease = 0
             return
         self.pending = False
-        self.untaken.clear()
-        self.kept = wanted
-        log_state("crashes_kept", requests=len(named) + len(rest))
+        self.undelivered.clear()
+        self.persisted = to_persist
+        log_state("crashes_persisted", requests=len(named) + len(rest))
 
-    def _granted(self) -> int:
-        """Return a lease that lasts for half of the time for which requests are kept, or longer.
+    def _ensure_lease(self) -> int:
+        """Return a lease with at least half of the retention time of suspects left.
 
         :raises StoreError: if no answer came
         """
--- a/src/threadramp/fleet/decode_cache.py
+++ b/src/threadramp/fleet/decode_cache.py
@@ -1,4 +1,4 @@
-"""Decodes what lies in the store once for each revision, and remembers what cannot be read."""
+"""Decodes items of the store once for each revision, and records those that are unreadable."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True)
 class Unreadable:
-    """An item that is not what its key says.
+    """An item that could not be decoded.
 
-    :param kind: what it should be, such as ``endpoint``
-    :param revision: of the store, at which it was written
+    :param kind: expected kind, such as ``endpoint``
+    :param revision: the store's revision at which it was written
     """
 
     kind: str
@@ -28,52 +28,52 @@
 
 
 class DecodeCache:
-    """The decoded items of one process; not for several threads at once.
+    """The decoded items of one process; not thread-safe.
 
-    An item is decoded when its revision is seen for the first time: the entries of a large fleet
-    are gone through with each change of one of them.
+    An item is decoded when its revision is first seen, because each change of one entry iterates
+    over all entries of the fleet.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, tuple[int, Any]] = {}
+        self.entries: dict[str, tuple[int, Any]] = {}
         self.unreadable: dict[str, Unreadable] = {}
         self.on_unreadable: Callable[[str], None] = lambda kind: None
 
-    def read(self, kind: str, item: Item, decode: Callable[[Item], Any]) -> Any | None:
-        """Return what an item says, none if it cannot be read.
+    def decode_item(self, kind: str, item: Item, decode: Callable[[Item], Any]) -> Any | None:
+        """Return the decoded item, none if it is unreadable.
 
-        :param decode: raises ``DocumentError`` if it cannot be read
+        :param decode: raises ``DocumentError`` if the item is unreadable
         """
-        held = self.held.get(item.key)
-        if held is not None and held[0] == item.revision:
-            return held[1]
+        entry = self.entries.get(item.key)
+        if entry is not None and entry[0] == item.revision:
+            return entry[1]
         try:
             found = decode(item)
         except DocumentError as error:
             found = None
-            self._note_unreadable(kind, item, str(error))
+            self._record_unreadable(kind, item, str(error))
         else:
             self.unreadable.pop(item.key, None)
-        self.held[item.key] = (item.revision, found)
+        self.entries[item.key] = (item.revision, found)
         return found
 
-    def read_or_last(self, kind: str, item: Item, decode: Callable[[Item], Any]) -> Any | None:
-        """Return what an item says, or what it said when it could last be read."""
-        held = self.held.get(item.key)
-        found = self.read(kind, item, decode)
-        if found is None and held is not None:
-            found = held[1]
-            self.held[item.key] = (item.revision, found)
+    def decode_or_last(self, kind: str, item: Item, decode: Callable[[Item], Any]) -> Any | None:
+        """Return the decoded item, or its last readable state."""
+        entry = self.entries.get(item.key)
+        found = self.decode_item(kind, item, decode)
+        if found is None and entry is not None:
+            found = entry[1]
+            self.entries[item.key] = (item.revision, found)
         return found
 
-    def keep_only(self, prefix: str, keys: Collection[str]) -> None:
-        """Forget the items under a prefix that are gone."""
-        for rows in (self.held, self.unreadable):
+    def retain_only(self, prefix: str, keys: Collection[str]) -> None:
+        """Forget items under a prefix that no longer exist."""
+        for rows in (self.entries, self.unreadable):
             for key in [key for key in rows if key.startswith(prefix) and key not in keys]:
                 del rows[key]
 
-    def _note_unreadable(self, kind: str, item: Item, reason: str) -> None:
-        """Tell it once for each revision; each change of any item goes through all of them."""
+    def _record_unreadable(self, kind: str, item: Item, reason: str) -> None:
+        """Log an item once for each revision; each change of any item visits all of them."""
         self.unreadable[item.key] = Unreadable(kind, item.revision, reason)
         self.on_unreadable(kind)
         log_state(f"{kind}_unreadable", key=item.key, revision=item.revision, error=reason)
--- a/src/threadramp/fleet/facts.py
+++ b/src/threadramp/fleet/facts.py
@@ -1,4 +1,4 @@
-"""What a gateway tells a sidecar of the sidecar's own endpoint, from what it believes."""
+"""What a gateway sends a sidecar about the sidecar's endpoint, from its current snapshot."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def facts_for(sidecar: Member, snapshot: FleetSnapshot) -> Facts:
-    """Return what a sidecar needs to know."""
+    """Return the facts for a sidecar."""
     facts = Facts(
         endpoints_revision=snapshot.endpoints_revision,
         targets_revision=snapshot.targets_revision,
@@ -32,26 +32,26 @@
 
 
 def serves_any(sidecar: Member, models: Set[str], snapshot: FleetSnapshot) -> bool:
-    """Return whether a sidecar's engine is one that a gateway asks for samples of these models.
+    """Return whether gateways use a sidecar's engine for samples of one of these models.
 
-    In a small pool every engine is asked, in a large one those that keep such a model up to date,
-    so that a lot's gateway need not know all engines.
+    In a small pool they use every engine, in a large one only those that keep such a model up to
+    date, so that a lot's gateway need not contact all engines.
     """
     endpoint = snapshot.at_address(sidecar.endpoint)
     if endpoint is None:
-        return True  # it may be listed in a moment; until then it takes nothing
-    place = snapshot.places[endpoint.address]
-    if is_shared(place.engines):
+        return True  # it may be registered in a moment; until then it accepts nothing
+    position = snapshot.positions[endpoint.address]
+    if is_shared(position.engines):
         return True
-    share = model_share(place.rank, place.engines, snapshot.pool(endpoint.pool).models)
+    share = model_share(position.rank, position.engines, snapshot.pool(endpoint.pool).models)
     return not models.isdisjoint(share.shifts)
 
 
 def _with_endpoint(facts: Facts, endpoint: Endpoint, snapshot: FleetSnapshot) -> Facts:
-    """Add what is known of the sidecar's endpoint and its place in its pool."""
+    """Add the sidecar's endpoint and its position in its pool."""
     pool = snapshot.pool(endpoint.pool)
-    place = snapshot.places[endpoint.address]
-    share = model_share(place.rank, place.engines, pool.models)
+    position = snapshot.positions[endpoint.address]
+    share = model_share(position.rank, position.engines, pool.models)
     return msgspec.structs.replace(
         facts,
         instance=endpoint.instance,
--- a/src/threadramp/fleet/fenced_lock.py
+++ b/src/threadramp/fleet/fenced_lock.py
@@ -1,14 +1,15 @@
-"""Rights that one box at a time holds, such as to order an engine, and the numbers that fence it.
-
-A right is a key of the store that names its holder; the revision of that write is the number of all
-that the holder does under it. Whoever takes it over has a higher one, and does nothing under it
-until the holder before can not do any more. So no two boxes ever use the same number, a lower one
-never follows a higher one, and no two act in turns, also towards those that look at no number.
-
-Only the store shows who holds a right. That a process still runs, is listed or is asked by others
-says nothing of it: whoever tells that may not know of the next holder. A proof counts from when
-the store was asked, by a clock that no suspension stops, and for ``PROVEN_S``; the next holder
-waits for longer than that and all that may still be on its way.
+"""Fenced locks in the store, each held by one box at a time, such as the one to order an engine.
+
+A lock is a key of the store that names its holder. The revision of the write that acquired it is
+the holder's fencing token. The next holder gets a higher token, and does not use it until the
+previous holder can no longer act. So no two boxes ever use the same token, a lower token never
+follows a higher one, and two holders never act alternately, even on receivers that check no token.
+
+Only the store shows who holds a lock. That a process still runs, is listed as a member or gets
+requests from others shows nothing: those others may not know the next holder yet. A verification
+counts from the time at which the store was asked, on a clock that keeps running during suspension,
+and is valid for ``VERIFICATION_TTL_S``. The next holder waits longer than that plus the time that
+messages may still be in transit.
 """
 
 from __future__ import annotations
@@ -33,32 +34,31 @@
     from threadramp.platform.store import StoreClient
     from threadramp.platform.store_model import Item
 
-RETRY_INTERVAL_S = 1.0  # after the store did not answer, or the right is another's
-VERIFICATION_TTL_S = (
-    1.0  # for which the store's word counts, from when it was asked; it answers in ms
-)
+RETRY_INTERVAL_S = 1.0  # after the store did not answer, or while another box holds the lock
+VERIFICATION_TTL_S = 1.0  # counted from when the store was asked; it answers within milliseconds
 
 
 class LockRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Who holds a right, as the store has it.
+    """The holder of a lock as stored.
 
-    :param holder: name of the box, empty if it was given up
-    :param waits: whether that box has yet to wait until nobody before it can act any more
-    :param shared: whether another box ever held it
+    :param holder: name of the box, empty if the lock was released
+    :param takeover_pending: whether the holder must still wait until no previous one can act
+    :param had_previous_holder: whether another box ever held it
     """
 
     holder: str
-    waits: bool
-    shared: bool = False
+    takeover_pending: bool
+    had_previous_holder: bool = False
 
 
 class FencedLock:
-    """The right of one process to what a key of the store stands for.
+    """One process's handle on a fenced lock, identified by a key of the store.
 
-    :param holder: name of the box
-    :param hand_over_s: that pass between the last proof of one holder and the first use by the next
-    :param may_take: whether it may be taken from a holder, who is empty if nobody holds it, and
-        none as long as the store was not asked
+    :param holder: name of this box
+    :param takeover_delay_s: time between the last verification by one holder and the first use by
+        the next
+    :param may_acquire: whether the lock may be taken from a holder, which is empty if nobody holds
+        it, and none as long as the store was not asked
     """
 
     def __init__(
@@ -68,187 +68,196 @@
         holder: str,
         takeover_delay_s: float,
         clock: Clock,
-        may_take: Callable[[str | None], bool] = lambda holder: True,
+        may_acquire: Callable[[str | None], bool] = lambda holder: True,
     ) -> None:
         self.store = store
         self.key = key
         self.holder = holder
         self.takeover_delay_s = takeover_delay_s
         self.clock = clock
-        self.may_take = may_take
+        self.may_acquire = may_acquire
         self.fencing_token = 0
-        self.waits = False
+        self.takeover_pending = False
         self.had_previous_holder = False
-        self.doubted = False
-        self.first_use_at = 0.0
-        self.ask_again_at = 0.0
-        self.shown_at = float("-inf")
+        self.must_recheck = False
+        self.usable_from = 0.0
+        self.next_query_at = 0.0
+        self.verified_at = float("-inf")
 
     def verified_ago_s(self) -> float:
-        """Return the seconds since the store was asked that showed the right to be ours."""
-        return self.clock.now() - self.shown_at
+        """Return the seconds since the store was asked for the last verification."""
+        return self.clock.now() - self.verified_at
 
     def is_verified(self) -> bool:
-        """Return whether the last proof holds yet; to be asked right before bytes are sent."""
-        usable = bool(self.fencing_token) and not self.waits and not self.doubted
+        """Return whether the last verification is still valid; call right before sending bytes."""
+        usable = bool(self.fencing_token) and not self.takeover_pending and not self.must_recheck
         return usable and self.verified_ago_s() <= VERIFICATION_TTL_S
 
     def invalidate(self) -> None:
-        """Take note that another process may hold it by now."""
-        self.doubted = True
+        """Require a new look-up because another process may have acquired the lock."""
+        self.must_recheck = True
 
     def verified_token(self) -> int:
-        """Return the number under which to act now, 0 if there is none.
+        """Return the fencing token to act under now, 0 if the lock is not held.
 
-        The store is asked each time, and its answer counts only while it is young.
+        Asks the store each time; its answer counts only for ``VERIFICATION_TTL_S``.
         """
-        if not self.waits:
+        if not self.takeover_pending:
             self.invalidate()
-        number = self.cached_token()
-        return number if self.is_verified() else 0
+        token = self.cached_token()
+        return token if self.is_verified() else 0
 
     def cached_token(self) -> int:
-        """Return the number by what is known, 0 if it may not be used; no proof to act by."""
+        """Return the last known token, 0 if it must not be used; no verification to act on."""
         now = self.clock.now()
-        if now < max(self.ask_again_at, self.first_use_at if self.waits else 0.0):
+        if now < max(self.next_query_at, self.usable_from if self.takeover_pending else 0.0):
             return 0
         try:
-            if self.waits:
-                self._end_wait()
-            elif not self.fencing_token or self.doubted:
-                self._look()
+            if self.takeover_pending:
+                self._finish_takeover()
+            elif not self.fencing_token or self.must_recheck:
+                self._query_store()
         except StoreError as error:
-            log_state("right_unknown", right=self.key, error=str(error))
-            self.doubted = True
-            self.ask_again_at = now + RETRY_INTERVAL_S
+            log_state("lock_state_unknown", key=self.key, error=str(error))
+            self.must_recheck = True
+            self.next_query_at = now + RETRY_INTERVAL_S
             return 0
-        return 0 if self.waits else self.fencing_token
+        return 0 if self.takeover_pending else self.fencing_token
 
-    def transfer_to(self, heir: str) -> None:
-        """Let another box hold it, which uses it once it has waited as after any holder.
+    def transfer_to(self, successor: str) -> None:
+        """Transfer the lock to another box, which waits for the usual takeover delay.
 
-        :param heir: name of the box, empty if whoever finds it may take it
-        :raises StoreError: if that is not known to be kept
+        :param successor: name of the box, empty to release the lock to any box
+        :raises StoreError: if it is not known whether the transfer was stored
         """
-        number, self.fencing_token = self.fencing_token, 0
-        self.waits = False
-        if not number:
+        token, self.fencing_token = self.fencing_token, 0
+        self.takeover_pending = False
+        if not token:
             return
-        held = LockRecord(heir, waits=True, shared=True)
-        transaction = Transaction({self.key: number}, (self._put(held),))
+        held = LockRecord(successor, takeover_pending=True, had_previous_holder=True)
+        transaction = Transaction({self.key: token}, (self._put(held),))
         self.store.transact(transaction, repeatable=True)
-        log_state("right_given", right=self.key, number=number, to=heir)
+        log_state("lock_transferred", key=self.key, token=token, to=successor)
 
-    def _look(self) -> None:
-        """See whether it is held, and take it if it is not and may be taken.
+    def _query_store(self) -> None:
+        """Look up the holder, and acquire the lock if it may be acquired.
 
         :raises StoreError: if the store did not answer
         """
-        self.doubted = False
+        self.must_recheck = False
         asked_at = self.clock.now()
         if self.fencing_token:
             found = self.store.get(self.key)
-        elif self.may_take(None):
-            found = self._take(ABSENT, "")
+        elif self.may_acquire(None):
+            found = self._acquire(ABSENT, "")
             if self.fencing_token:
                 return
         else:
-            self.ask_again_at = self.clock.now() + RETRY_INTERVAL_S
+            self.next_query_at = self.clock.now() + RETRY_INTERVAL_S
             return
-        if self._is_ours(found, asked_at):
+        if self._record_if_ours(found, asked_at):
             return
-        held = _read(found)
-        before = "" if held is None else held.holder
-        if self.may_take(before):
-            self._take(ABSENT if found is None else found.revision, before)
+        held = _decode_item(found)
+        previous_holder = "" if held is None else held.holder
+        if self.may_acquire(previous_holder):
+            self._acquire(ABSENT if found is None else found.revision, previous_holder)
 
-    def _is_ours(self, found: Item | None, asked_at: float) -> bool:
-        """Note what the store has, and return whether that names this box.
+    def _record_if_ours(self, found: Item | None, asked_at: float) -> bool:
+        """Record the stored state and return whether this box holds the lock.
 
-        :param asked_at: when the store was asked
+        :param asked_at: time at which the store was asked
         """
-        held = _read(found)
+        held = _decode_item(found)
         if held is not None and held.holder == self.holder:
-            self._note(found.revision, held, asked_at)
+            self._record_holding(found.revision, held, asked_at)
             return True
-        self._lost(held)
+        self._record_loss(held)
         return False
 
-    def _take(self, revision: int, before: str) -> Item | None:
-        """Write it if it stands as expected; returns how it stands where it does not.
+    def _acquire(self, revision: int, previous_holder: str) -> Item | None:
+        """Acquire the lock if it is at the expected revision; else return its current state.
 
-        :param before: who holds it as far as is known
+        :param previous_holder: the last known holder
         :raises StoreError: if the store did not answer
         """
         asked_at = self.clock.now()
-        was_there = revision != ABSENT  # else nobody ever held it
-        held = LockRecord(self.holder, waits=was_there, shared=was_there)
+        existed = revision != ABSENT  # otherwise nobody ever held the lock
+        held = LockRecord(self.holder, takeover_pending=existed, had_previous_holder=existed)
         transaction = Transaction({self.key: revision}, (self._put(held),))
-        # Done twice, the second time finds this holder.
+        # Repeatable: a second write fails the comparison and finds this box as the holder.
         answer = self.store.transact(transaction, repeatable=True)
         if isinstance(answer, Committed):
-            log_state("right_taken", right=self.key, number=answer.revision, before=before)
-            self._note(answer.revision, held, asked_at)
+            log_state(
+                "lock_acquired",
+                key=self.key,
+                token=answer.revision,
+                previous_holder=previous_holder,
+            )
+            self._record_holding(answer.revision, held, asked_at)
             return None
-        log_state("right_not_taken", right=self.key, expected=revision, before=before)
+        log_state(
+            "lock_not_acquired", key=self.key, expected=revision, previous_holder=previous_holder
+        )
         return answer.current.get(self.key)
 
-    def _end_wait(self) -> None:
-        """Write that the wait is over, which is a proof as well.
+    def _finish_takeover(self) -> None:
+        """Store that the takeover delay is over, which also verifies the lock.
 
-        Without it a process that begins on this box could not tell whether it has to wait; a time
-        of day would not do, since it jumps, and since the store may do a write seconds late.
+        Otherwise a process that restarts on this box could not tell whether it must still wait.
+        A stored time of day would not do: clocks jump, and the store may apply a write seconds
+        late.
 
         :raises StoreError: if the store did not answer
         """
-        self.doubted = False
+        self.must_recheck = False
         asked_at = self.clock.now()
-        held = LockRecord(self.holder, waits=False, shared=True)
+        held = LockRecord(self.holder, takeover_pending=False, had_previous_holder=True)
         transaction = Transaction({self.key: self.fencing_token}, (self._put(held),))
         answer = self.store.transact(transaction, repeatable=True)
         if isinstance(answer, Committed):
-            self._note(answer.revision, held, asked_at)
+            self._record_holding(answer.revision, held, asked_at)
             return
-        self._is_ours(answer.current.get(self.key), asked_at)  # or its answer was lost before
+        # It is ours if the answer to an earlier attempt was lost.
+        self._record_if_ours(answer.current.get(self.key), asked_at)
 
     def _put(self, held: LockRecord) -> Put:
         return Put(self.key, msgspec.msgpack.encode(held))
 
-    def _note(self, number: int, held: LockRecord, asked_at: float) -> None:
-        """Note that it is held; a wait counts from now.
+    def _record_holding(self, token: int, held: LockRecord, asked_at: float) -> None:
+        """Record that this box holds the lock; a takeover delay counts from now.
 
-        :param asked_at: when the store was asked that showed it
+        :param asked_at: time at which the store was asked
         """
-        self.shown_at = asked_at
-        if number == self.fencing_token:
+        self.verified_at = asked_at
+        if token == self.fencing_token:
             return
-        self.fencing_token = number
-        self.waits = held.waits
-        self.had_previous_holder = held.shared
-        self.ask_again_at = 0.0
-        self.first_use_at = self.clock.now() + self.takeover_delay_s
-        wait_s = self.takeover_delay_s if held.waits else 0.0
-        log_state("right", right=self.key, number=number, wait_s=wait_s)
-
-    def _lost(self, held: LockRecord | None) -> None:
+        self.fencing_token = token
+        self.takeover_pending = held.takeover_pending
+        self.had_previous_holder = held.had_previous_holder
+        self.next_query_at = 0.0
+        self.usable_from = self.clock.now() + self.takeover_delay_s
+        wait_s = self.takeover_delay_s if held.takeover_pending else 0.0
+        log_state("lock_held", key=self.key, token=token, wait_s=wait_s)
+
+    def _record_loss(self, held: LockRecord | None) -> None:
         if self.fencing_token:
             holder = held.holder if held is not None else ""
-            log_state("right_lost", right=self.key, number=self.fencing_token, holder=holder)
+            log_state("lock_lost", key=self.key, token=self.fencing_token, holder=holder)
         self.fencing_token = 0
-        self.waits = False
-        self.ask_again_at = self.clock.now() + RETRY_INTERVAL_S
+        self.takeover_pending = False
+        self.next_query_at = self.clock.now() + RETRY_INTERVAL_S
 
 
-def _read(found: Item | None) -> LockRecord | None:
+def _decode_item(found: Item | None) -> LockRecord | None:
     return None if found is None else decode_lock_record(found.value)
 
 
 def decode_lock_record(value: bytes) -> LockRecord | None:
-    """Return who holds a right, none if nobody can tell; then it is taken over as from another."""
+    """Return a lock's stored state, none if unreadable: then it counts as held by another box."""
     try:
         return msgspec.msgpack.decode(value, type=LockRecord)
     except msgspec.DecodeError as error:
-        log_state("right_unreadable", error=str(error))
+        log_state("lock_record_unreadable", error=str(error))
         return None
 
 
--- a/src/threadramp/fleet/fleet_view.py
+++ b/src/threadramp/fleet/fleet_view.py
@@ -1,4 +1,4 @@
-"""What one gateway believes: configuration, endpoints, members, named versions."""
+"""A gateway's view of the fleet: configuration, endpoints, members, published versions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Pool,
     RetireRequest,
     WeightTarget,
-    newest_by_address,
+    newest_per_address,
 )
 from threadramp.platform.documents import (
     CONFIGURATION_KEY,
@@ -40,22 +40,22 @@
     from threadramp.platform.store_model import Item
 
 MEMBER_PREFIX = "member/"
-# What gateways keep beside the list of members, so that it is listed and watched with it.
+# Keys that gateways store beside the member list, so that they are listed and watched with it.
 NON_MEMBER_PREFIX = MEMBER_PREFIX + "."
-CRASHES_PREFIX = NON_MEMBER_PREFIX + "crashes/"  # by box: under which requests endpoints ended
-DUTIES_KEY = NON_MEMBER_PREFIX + "duties"  # which gateway holds the duties of the fleet
-TRIALS_PREFIX = NON_MEMBER_PREFIX + "trials/"  # by request and number: which box makes a trial
-ROLES_LISTED = ("gateway", "sidecar")
-FAULTS_SHOWN = 20  # in one line
-HOST_ROLE = "host"  # of a gateway that stands in for a sidecar; it is listed as what it is
+CRASHES_PREFIX = NON_MEMBER_PREFIX + "crashes/"  # by box: requests that crashed endpoints
+DUTIES_KEY = NON_MEMBER_PREFIX + "duties"  # lock of the gateway that has the fleet's duties
+TRIALS_PREFIX = NON_MEMBER_PREFIX + "trials/"  # by request and trial number: box that runs it
+MEMBER_ROLES = ("gateway", "sidecar")
+MAX_LOGGED_FAULTS = 20  # in one log line
+HOST_ROLE = "host"  # of a gateway that hosts an engine in place of a sidecar; registered as gateway
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One process of ours, as it lists itself.
+    """A threadramp process, as it registers itself.
 
     :param role: ``gateway`` or ``sidecar``
-    :param address: at which it answers peers
-    :param endpoint: address of the endpoint beside it, empty if there is none
+    :param address: address at which it answers peers
+    :param endpoint: address of the endpoint that its sidecar serves, empty if there is none
     """
 
     name: str
@@ -70,11 +70,11 @@
 
 
 @dataclass(frozen=True)
-class Place:
-    """Where an endpoint stands in its pool, in the order of addresses.
+class PoolPosition:
+    """Position of an endpoint in its pool, ordered by address.
 
-    :param rank: from 0
-    :param engines: endpoints of the pool
+    :param rank: index from 0
+    :param engines: number of endpoints in the pool
     """
 
     rank: int
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class FleetSnapshot:
-    """One consistent view; replaced as a whole."""
+    """One consistent state of the fleet; immutable and replaced as a whole."""
 
     configuration: Configuration | None = None
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
@@ -94,7 +94,7 @@
     endpoints_revision: int = 0
 
     def newest_version(self, model: str) -> int:
-        """Return the newest version that is named of a model, 0 if none is."""
+        """Return the newest published version of a model, 0 if there is none."""
         return max((one.version for one in self.targets if one.model == model), default=0)
 
     def in_pool(self, pool: str) -> list[Endpoint]:
@@ -102,42 +102,42 @@
         return [endpoint for endpoint in self.endpoints.values() if endpoint.pool == pool]
 
     def pool(self, name: str) -> Pool:
-        """Return a pool as it is configured, else one with the usual values."""
+        """Return a pool as configured, or one with default values."""
         pools = self.configuration.pools if self.configuration is not None else {}
         return pools.get(name, Pool(name))
 
     def at_address(self, address: str) -> Endpoint | None:
-        """Return the endpoint at an address, none if no entry names it."""
+        """Return the endpoint at an address, none if no entry has that address."""
         return self.by_address.get(address)
 
     @cached_property
     def by_address(self) -> dict[str, Endpoint]:
-        """Return the endpoints by address; worked out once for each view."""
+        """Return the endpoints by address; computed once for each snapshot."""
         return {one.address: one for one in self.endpoints.values()}
 
     @cached_property
-    def places(self) -> dict[str, Place]:
-        """Return where each endpoint stands in its pool, by address; worked out once."""
+    def positions(self) -> dict[str, PoolPosition]:
+        """Return each endpoint's position in its pool, by address; computed once."""
         pools: dict[str, list[str]] = {}
         for address in sorted(self.by_address):
             pools.setdefault(self.by_address[address].pool, []).append(address)
         return {
-            address: Place(rank, len(row))
+            address: PoolPosition(rank, len(row))
             for row in pools.values()
             for rank, address in enumerate(row)
         }
 
     def sidecars(self) -> list[Member]:
-        """Return the sidecars, in the order of their names."""
+        """Return the sidecars, sorted by name."""
         return list(self.by_role.get("sidecar", ()))
 
     def gateways(self) -> list[Member]:
-        """Return the gateways, in the order of their names."""
+        """Return the gateways, sorted by name."""
         return list(self.by_role.get("gateway", ()))
 
     @cached_property
     def by_role(self) -> dict[str, tuple[Member, ...]]:
-        """Return the members by role, in the order of their names; worked out once."""
+        """Return the members by role, sorted by name; computed once."""
         rows: dict[str, list[Member]] = {}
         for _, one in sorted(self.members.items()):
             rows.setdefault(one.role, []).append(one)
@@ -145,18 +145,18 @@
 
 
 class FleetView:
-    """Builds a belief from the mirrors whenever one of them changes."""
+    """Builds a new snapshot from the mirrors whenever one of them changes."""
 
     def __init__(self) -> None:
-        self.operator = Mirror(OPERATOR_PREFIX, holds_lapsed=False)
-        self.endpoints = Mirror(ENDPOINT_PREFIX, holds_lapsed=True)
-        self.members = Mirror(MEMBER_PREFIX, holds_lapsed=True)
+        self.operator = Mirror(OPERATOR_PREFIX, retains_expired=False)
+        self.endpoints = Mirror(ENDPOINT_PREFIX, retains_expired=True)
+        self.members = Mirror(MEMBER_PREFIX, retains_expired=True)
         self.snapshot = FleetSnapshot()
         self.changed = threading.Condition()
         self.decode_cache = DecodeCache()
-        self.starts = LatestIncarnations()
-        self.of_no_pool: dict[str, int] = {}
-        self.doubted: dict[str, float] = {}
+        self.latest_incarnations = LatestIncarnations()
+        self.unknown_pool_revisions: dict[str, int] = {}
+        self.retained: dict[str, float] = {}
         self.lock = threading.Lock()
         for mirror in self.mirrors:
             mirror.listeners.append(self._rebuild)
@@ -168,11 +168,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether requests can be routed."""
+        """Return whether enough is loaded to route requests."""
         return self.snapshot.configuration is not None and self.endpoints.is_loaded
 
     def configuration_age_s(self, now: float) -> float:
-        """Return the seconds since the store showed, also to a peer, that no newer one stood."""
+        """Return the seconds since the store, also via a peer, last confirmed it as current."""
         return now - self.operator.current_at
 
     def _rebuild(self) -> None:
@@ -180,13 +180,13 @@
             old = self.snapshot
             self.snapshot = self._build()
             _log_changes(old, self.snapshot)
-            self._log_doubts()
+            self._log_retained()
         with self.changed:
             self.changed.notify_all()
 
     def _build(self) -> FleetSnapshot:
         operator = self.operator.snapshot()
-        self.decode_cache.keep_only(OPERATOR_PREFIX, operator)
+        self.decode_cache.retain_only(OPERATOR_PREFIX, operator)
         configuration = self._configuration(operator.get(CONFIGURATION_KEY))
         targets = self._documents_under(WEIGHTS_PREFIX, operator, _read_target)
         return FleetSnapshot(
@@ -195,23 +195,25 @@
             members=self._members(),
             targets=tuple(targets),
             targets_revision=max((target.revision for target in targets), default=0),
-            retire_requests=tuple(self._documents_under(EMPTY_PREFIX, operator, _read_empty)),
+            retire_requests=tuple(
+                self._documents_under(EMPTY_PREFIX, operator, _read_retire_request)
+            ),
             endpoints_revision=self.endpoints.revision,
         )
 
-    def _log_doubts(self) -> None:
-        """Log entries that are believed a while longer though the store lacks them now."""
+    def _log_retained(self) -> None:
+        """Log entries that are retained for a while although the store no longer has them."""
         found = self.endpoints.retained() | self.members.retained()
-        for key in found.keys() - self.doubted.keys():
-            log_state("removal_doubted", key=key, until=round(found[key], 3))
-        self.doubted = found
+        for key in found.keys() - self.retained.keys():
+            log_state("removal_deferred", key=key, until=round(found[key], 3))
+        self.retained = found
 
     def _documents_under(
         self, prefix: str, items: dict[str, Item], decode: Callable[[Item], Any]
     ) -> list[Any]:
-        """Return the operators' documents under a prefix; of one that is spoiled the last good."""
+        """Return the operators' documents under a prefix, or the last valid one if unreadable."""
         rows = [
-            self.decode_cache.read_or_last("document", item, decode)
+            self.decode_cache.decode_or_last("document", item, decode)
             for key, item in sorted(items.items())
             if key.startswith(prefix)
         ]
@@ -220,7 +222,9 @@
     def _configuration(self, item: Item | None) -> Configuration | None:
         found = None
         if item is not None:
-            found = self.decode_cache.read_or_last("configuration", item, self._read_configuration)
+            found = self.decode_cache.decode_or_last(
+                "configuration", item, self._read_configuration
+            )
         return found if found is not None else self.snapshot.configuration
 
     def _read_configuration(self, item: Item) -> Configuration:
@@ -228,32 +232,32 @@
 
     def _endpoints(self, configuration: Configuration | None) -> dict[str, Endpoint]:
         items = self.endpoints.snapshot()
-        self.decode_cache.keep_only(ENDPOINT_PREFIX, items)
-        self.of_no_pool = {
+        self.decode_cache.retain_only(ENDPOINT_PREFIX, items)
+        self.unknown_pool_revisions = {
             name: revision
-            for name, revision in self.of_no_pool.items()
+            for name, revision in self.unknown_pool_revisions.items()
             if ENDPOINT_PREFIX + name in items
         }
         found = []
         for item in items.values():
-            endpoint = self.decode_cache.read("endpoint", item, _read_endpoint)
-            if endpoint is not None and self._is_served(endpoint, configuration):
+            endpoint = self.decode_cache.decode_item("endpoint", item, _read_endpoint)
+            if endpoint is not None and self._has_known_pool(endpoint, configuration):
                 found.append(endpoint)
-        return newest_by_address(self.starts.current(found))
+        return newest_per_address(self.latest_incarnations.current(found))
 
-    def _is_served(self, endpoint: Endpoint, configuration: Configuration | None) -> bool:
-        """Return whether an entry names a pool of ours; one of no pool would hide a true entry.
+    def _has_known_pool(self, endpoint: Endpoint, configuration: Configuration | None) -> bool:
+        """Return whether the entry's pool is configured; other entries could hide a valid one.
 
-        A pool may be declared later than its endpoints list themselves, so this is looked at anew
-        with each configuration.
+        A pool may be declared after its endpoints have registered, so this is checked again with
+        each configuration.
         """
         if configuration is None or endpoint.pool in configuration.pools:
             return True
-        if self.of_no_pool.get(endpoint.instance) != endpoint.revision:
-            self.of_no_pool[endpoint.instance] = endpoint.revision
+        if self.unknown_pool_revisions.get(endpoint.instance) != endpoint.revision:
+            self.unknown_pool_revisions[endpoint.instance] = endpoint.revision
             self.decode_cache.on_unreadable("endpoint")
             log_state(
-                "endpoint_of_no_pool",
+                "endpoint_pool_unknown",
                 instance=endpoint.instance,
                 pool=endpoint.pool,
                 revision=endpoint.revision,
@@ -262,9 +266,9 @@
 
     def _members(self) -> dict[str, Member]:
         items = self.members.snapshot()
-        self.decode_cache.keep_only(MEMBER_PREFIX, items)
+        self.decode_cache.retain_only(MEMBER_PREFIX, items)
         rows = [
-            self.decode_cache.read("member", item, read_member)
+            self.decode_cache.decode_item("member", item, read_member)
             for key, item in items.items()
             if not key.startswith(NON_MEMBER_PREFIX)
         ]
@@ -272,19 +276,21 @@
 
 
 def read_member(item: Item) -> Member:
-    """Decode the entry of a process of ours.
+    """Decode the entry of a threadramp process.
 
-    :raises DocumentError: if it cannot be read, or names nothing that can be asked
+    :raises DocumentError: if it cannot be read, or has no valid role or address
     """
     try:
         member = decode_member(item.value)
     except msgspec.DecodeError as error:
         raise DocumentError(str(error)) from error
-    if member.name != item.key.removeprefix(MEMBER_PREFIX) or member.role not in ROLES_LISTED:
-        raise DocumentError(f"{member.role} {member.name!r} under another key")
+    if member.name != item.key.removeprefix(MEMBER_PREFIX) or member.role not in MEMBER_ROLES:
+        raise DocumentError(
+            f"{member.role} {member.name!r} does not match its key or is no known role"
+        )
     host, _, port = member.address.rpartition(":")
     if not host or not port.isdigit():
-        raise DocumentError(f"no address: {member.address!r}")
+        raise DocumentError(f"address {member.address!r} is not HOST:PORT")
     return member
 
 
@@ -296,16 +302,16 @@
     return read_weight_target(item.value, item.revision)
 
 
-def _read_empty(item: Item) -> RetireRequest:
+def _read_retire_request(item: Item) -> RetireRequest:
     return read_empty_request(item.key, item.value, item.revision)
 
 
 def _log_changes(old: FleetSnapshot, new: FleetSnapshot) -> None:
-    """Log what this process believes differently now."""
+    """Log the differences between two snapshots."""
     if new.configuration is not old.configuration and new.configuration is not None:
         _log_configuration(new.configuration)
     for instance in old.endpoints.keys() - new.endpoints.keys():
-        log_state("endpoint_gone", instance=instance, revision=new.endpoints_revision)
+        log_state("endpoint_removed", instance=instance, revision=new.endpoints_revision)
     for instance, endpoint in new.endpoints.items():
         before = old.endpoints.get(instance)
         if before is None or (before.leaving, before.born) != (endpoint.leaving, endpoint.born):
@@ -319,25 +325,25 @@
                 revision=new.endpoints_revision,
             )
     for name in old.members.keys() - new.members.keys():
-        log_state("member_gone", member=name)
+        log_state("member_removed", member=name)
     for name, member in new.members.items():
         if old.members.get(name) != member:
             log_state("member", member=name, role=member.role, incarnation=member.incarnation)
     for target in new.targets:
         if target not in old.targets:
-            log_state("version_named", model=target.model, version=target.version)
+            log_state("version_published", model=target.model, version=target.version)
 
 
 def _log_configuration(configuration: Configuration) -> None:
-    """Log a version that is believed from now on, and once what is wrong with its organisations."""
+    """Log a new configuration version, and once the faults of its organisations."""
     organisations = configuration.organisations
     count = None if organisations is None else len(organisations.by_name)
     log_state("configuration", version=configuration.version, organisations=count)
     if organisations is not None and organisations.faults:
         log_state(
-            "organisations_faulty",
+            "organisations_invalid",
             version=configuration.version,
-            faults=organisations.faults[:FAULTS_SHOWN],
+            faults=organisations.faults[:MAX_LOGGED_FAULTS],
             count=len(organisations.faults),
         )
 
@@ -351,6 +357,6 @@
     "FleetSnapshot",
     "Member",
     "FleetView",
-    "Place",
+    "PoolPosition",
     "read_member",
 ]
--- a/src/threadramp/fleet/latest_incarnations.py
+++ b/src/threadramp/fleet/latest_incarnations.py
@@ -1,4 +1,4 @@
-"""Which start of an endpoint is the newest that was ever told, by its id."""
+"""The newest incarnation of each endpoint that was ever reported, by instance id."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
     from threadramp.fleet.model import Endpoint
 
-IDS_MOST = 8192  # three times the endpoints of the target size
+MAX_IDS = 8192  # three times the endpoints of the target size
 
 
 class LatestIncarnations:
-    """Keeps a start that is over from coming back in the place of the one that followed it.
+    """Prevents an ended incarnation from replacing the one that followed it.
 
-    A process that was cut off or slow may still write its entry once behind the next start, and
-    whoever has read that takes a fresh endpoint for the one that left. What a start told is
-    remembered beyond its entry, which may lapse in between.
+    A process that was disconnected or slow may still write its entry after the next incarnation
+    has written its own, so that readers would take a new endpoint for the one that left.
+    Incarnations are remembered beyond their entries, which may expire in between.
     """
 
     def __init__(self) -> None:
         self.latest: OrderedDict[str, Endpoint] = OrderedDict()
         self.listed: set[str] = set()
-        self.told: dict[str, int] = {}
+        self.logged_revisions: dict[str, int] = {}
 
     def current(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        """Return the endpoints, none in the place of a start that was told after it.
+        """Return the endpoints, without incarnations that are older than the newest known one.
 
-        Where an older start wrote over the entry of the newest, that one stays as it was.
+        Where an older one overwrote the entry of the newest, the newest is returned unchanged.
 
-        :param endpoints: as they are listed now
+        :param endpoints: the currently listed ones
         """
         found = [self._newest(endpoint) for endpoint in endpoints]
         rows = [one for one in found if one is not None]
@@ -43,22 +43,22 @@
     def _newest(self, endpoint: Endpoint) -> Endpoint | None:
         known = self.latest.get(endpoint.instance)
         if known is not None and endpoint.incarnation.started_before(known.incarnation):
-            self._tell(endpoint, known)
+            self._log_older(endpoint, known)
             return known if known.instance in self.listed else None
         self.latest[endpoint.instance] = endpoint
         self.latest.move_to_end(endpoint.instance)
-        while len(self.latest) > IDS_MOST:
-            gone, _ = self.latest.popitem(last=False)
-            self.told.pop(gone, None)
+        while len(self.latest) > MAX_IDS:
+            evicted, _ = self.latest.popitem(last=False)
+            self.logged_revisions.pop(evicted, None)
         return endpoint
 
-    def _tell(self, older: Endpoint, known: Endpoint) -> None:
-        """Log an older start once for each revision."""
-        if self.told.get(older.instance) == older.revision:
+    def _log_older(self, older: Endpoint, known: Endpoint) -> None:
+        """Log an older incarnation once for each revision."""
+        if self.logged_revisions.get(older.instance) == older.revision:
             return
-        self.told[older.instance] = older.revision
+        self.logged_revisions[older.instance] = older.revision
         log_state(
-            "older_start_told",
+            "older_incarnation_ignored",
             instance=older.instance,
             born=older.born,
             known=known.born,
--- a/src/threadramp/fleet/membership.py
+++ b/src/threadramp/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Keeps this process in the store's list of members, under a lease of its own."""
+"""Keeps this process in the member list of the store, under its own lease."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     from threadramp.fleet.fleet_view import Member
     from threadramp.platform.store import StoreClient
 
-LEASE_S = 3.0  # the shortest: a dead process is noticed after this
+LEASE_S = 3.0  # shortest lease: a dead process is noticed after this time
 RENEW_S = LEAST_S
-WATCHER_RENEW_S = 0.4  # of a gateway that others follow: they must know that it has a way
+WATCHER_RENEW_S = 0.4  # of a gateway that others follow: they must know that it can reach the store
 
 
 class Membership:
-    """Registers a member and renews its lease, which also shows whether the store answers."""
+    """Registers a member and renews its lease, which also probes the store."""
 
     def __init__(self, member: Member, store: StoreClient, lease_s: float) -> None:
         self.member = member
@@ -33,60 +33,60 @@
         self.lease = 0
         self.unlisted = threading.Event()
         self.stopped = threading.Event()
-        self.woken = threading.Event()
-        self.granted_s = 0.0
+        self.wake = threading.Event()
+        self.lease_ttl_s = 0.0
         self.renew_s: Callable[[], float] = lambda: RENEW_S
 
     def start(self) -> None:
-        """Start registering."""
+        """Start the registration thread."""
         start_loop(self._run, self.stopped)
 
     def mark_unlisted(self) -> None:
-        """Take note that the list of members lacks this one: it is written again."""
+        """Write this member's entry again because the member list lacks it."""
         self.unlisted.set()
-        self.woken.set()
+        self.wake.set()
 
     def leave(self) -> None:
-        """Take this process out of the list."""
+        """Remove this process from the member list."""
         self.stopped.set()
-        self.woken.set()
+        self.wake.set()
         if not self.lease:
             return
         try:
             self.store.end_lease(self.lease)
-        except StoreError as error:  # the lease runs out by itself
-            log_state("lease_not_ended", lease=self.lease, error=str(error))
+        except StoreError as error:  # the lease expires by itself
+            log_state("lease_not_revoked", lease=self.lease, error=str(error))
 
-    def pause_s(self) -> float:
-        """Return the seconds until the next renewal, within the lease that is held."""
-        return min(self.renew_s(), self.granted_s / LEASE_RENEWALS or RENEW_S)
+    def renewal_interval_s(self) -> float:
+        """Return the seconds until the next renewal, within the time to live of the lease."""
+        return min(self.renew_s(), self.lease_ttl_s / LEASE_RENEWALS or RENEW_S)
 
-    def turn(self) -> None:
-        """Renew the lease; grant one and write the entry where that is needed.
+    def run_once(self) -> None:
+        """Renew the lease; if necessary, request a new one and write the entry.
 
         :raises StoreError: if no answer came
         """
         wanted_s = max(self.lease_s, LEASE_RENEWALS * self.renew_s())
-        if wanted_s > self.granted_s:
-            self.lease = 0  # the one that is held runs out by itself
+        if wanted_s > self.lease_ttl_s:
+            self.lease = 0  # the present lease expires by itself
         if self.lease and not self.store.renew_lease(self.lease):
-            log_state("lease_over", lease=self.lease)
+            log_state("lease_expired", lease=self.lease)
             self.lease = 0
         if self.lease and not self.unlisted.is_set():
             return
         if not self.lease:
             self.lease = self.store.grant_lease(wanted_s)
-            self.granted_s = wanted_s
+            self.lease_ttl_s = wanted_s
         self._write()
 
     def _run(self) -> None:
         while not self.stopped.is_set():
-            self.woken.clear()
+            self.wake.clear()
             try:
-                self.turn()
+                self.run_once()
             except StoreError as error:
                 log_state("membership_not_renewed", lease=self.lease, error=str(error))
-            self.woken.wait(self.pause_s())
+            self.wake.wait(self.renewal_interval_s())
 
     def _write(self) -> None:
         put = Put(MEMBER_PREFIX + self.member.name, encode(self.member), self.lease)
--- a/src/threadramp/fleet/mirror.py
+++ b/src/threadramp/fleet/mirror.py
@@ -1,6 +1,6 @@
-"""What this process has seen of one prefix of the store, kept without I/O.
+"""In-memory copy of one key prefix of the store; does no I/O itself.
 
-Revisions only rise: an older item never replaces a newer one, whoever says it.
+Revisions only increase: an older item never replaces a newer one, whatever its source.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-THE_STORE = "the store"
-LAPSE_HOLD_S = 2.5  # entries that lapsed in an outage are back about 2 s after its end
+STORE_SOURCE = "the store"
+RETENTION_S = 2.5  # entries that expired in an outage are written again about 2 s after it
 
 
 class Mirror:
-    """Items under one prefix.
+    """Items under one key prefix.
 
-    :param prefix: of the keys
-    :param holds_lapsed: whether an item that goes around an outage of the store is believed for
-        a while longer; its writer may not have been able to renew it
+    :param prefix: prefix of the keys
+    :param retains_expired: whether an item that is removed around an outage of the store is kept
+        for a while longer, because its writer may not have been able to renew its lease
     """
 
-    def __init__(self, prefix: str, holds_lapsed: bool) -> None:
+    def __init__(self, prefix: str, retains_expired: bool) -> None:
         self.prefix = prefix
-        self.holds_lapsed = holds_lapsed
+        self.retains_expired = retains_expired
         self.items: dict[str, Item] = {}
-        self.lapsed: dict[str, float] = {}
-        self.told: dict[str, tuple[str, float]] = {}
+        self.retained_until: dict[str, float] = {}
+        self.sources: dict[str, tuple[str, float]] = {}
         self.revision = 0
         self.is_loaded = False
-        self.disturbed_until = 0.0
+        self.distrusted_until = 0.0
         self.current_at = float("-inf")
         self.lock = threading.Lock()
         self.listeners: list[Callable[[], None]] = []
 
-    def replace(self, listing: Listing, now: float, source: str = THE_STORE) -> bool:
-        """Take over a whole listing; false if it is older than what is known.
+    def replace(self, listing: Listing, now: float, source: str = STORE_SOURCE) -> bool:
+        """Replace the content by a listing; return false if the listing is outdated.
 
-        :param source: who told it
+        :param source: the store, or the name of the peer that sent it
         """
         with self.lock:
             if self.is_loaded and listing.revision < self.revision:
@@ -53,103 +53,105 @@
                 self._put(item, now, source)
             self.revision = max(self.revision, listing.revision)
             self.is_loaded = True
-        self._tell()
+        self._notify()
         return True
 
-    def apply(self, changes: Changes, now: float, source: str = THE_STORE) -> None:
-        """Take over changes that follow what is known.
+    def apply(self, changes: Changes, now: float, source: str = STORE_SOURCE) -> None:
+        """Apply changes that follow the current revision.
 
-        :param source: who told them
+        :param source: the store, or the name of the peer that sent them
         """
         with self.lock:
             for item in changes.items:
                 self._put(item, now, source)
             for removal in changes.removals:
-                held = self.items.get(removal.key)
-                if held is not None and held.revision < removal.revision:
+                known = self.items.get(removal.key)
+                if known is not None and known.revision < removal.revision:
                     self._remove(removal.key, now)
             self.revision = max(self.revision, changes.revision)
         if changes.items or changes.removals:
-            self._tell()
+            self._notify()
 
-    def was_current(self, at: float) -> None:
-        """Note that the store showed, or a peer that it showed, that nothing newer stood at a time.
+    def confirm_current(self, at: float) -> None:
+        """Record that the store, directly or through a peer, confirmed the content as current.
 
-        :param at: time at which that was asked for
+        :param at: time of the request that was answered so
         """
         with self.lock:
             self.current_at = max(self.current_at, at)
 
-    def disturbed(self, until: float) -> None:
-        """Note that the store was away; removals until ``until`` are doubted."""
+    def distrust_removals(self, until: float) -> None:
+        """Retain items that are removed until ``until``, because the store was unreachable."""
         with self.lock:
-            self.disturbed_until = max(self.disturbed_until, until)
-            for key in self.lapsed:
-                self.lapsed[key] = max(self.lapsed[key], until)
+            self.distrusted_until = max(self.distrusted_until, until)
+            for key in self.retained_until:
+                self.retained_until[key] = max(self.retained_until[key], until)
 
     def expire(self, now: float) -> None:
-        """Drop lapsed items that did not come back in time."""
+        """Drop retained items that were not written again in time."""
         with self.lock:
-            gone = [key for key, until in self.lapsed.items() if until <= now]
-            for key in gone:
-                del self.lapsed[key]
+            expired = [key for key, until in self.retained_until.items() if until <= now]
+            for key in expired:
+                del self.retained_until[key]
                 self.items.pop(key, None)
-                self.told.pop(key, None)
-        if gone:
-            self._tell()
+                self.sources.pop(key, None)
+        if expired:
+            self._notify()
 
     def snapshot(self) -> dict[str, Item]:
-        """Return all items that are believed, by key."""
+        """Return all items by key, retained ones included."""
         with self.lock:
             return dict(self.items)
 
     def retained(self) -> dict[str, float]:
-        """Return until when items that went are still believed, by key."""
+        """Return until when removed items are still retained, by key."""
         with self.lock:
-            return dict(self.lapsed)
+            return dict(self.retained_until)
 
     def copy(self) -> Listing:
-        """Return what a peer may take over; lapsed items are left out."""
+        """Return a listing for a peer, without retained items."""
         with self.lock:
-            items = tuple(item for key, item in self.items.items() if key not in self.lapsed)
+            items = tuple(
+                item for key, item in self.items.items() if key not in self.retained_until
+            )
             return Listing(items, self.revision)
 
     def source_of(self, key: str) -> tuple[str, float | None]:
-        """Return who told what is believed of a key, and when; nobody and none if it is unknown."""
+        """Return the source of an item and when it came; empty and none for an unknown key."""
         with self.lock:
-            return self.told.get(key, ("", None))
+            return self.sources.get(key, ("", None))
 
     def _put(self, item: Item, now: float, source: str) -> None:
-        held = self.items.get(item.key)
-        if held is None or held.revision <= item.revision:
-            if held is None or held.revision < item.revision:
-                self.told[item.key] = (source, now)
+        known = self.items.get(item.key)
+        if known is None or known.revision <= item.revision:
+            if known is None or known.revision < item.revision:
+                self.sources[item.key] = (source, now)
             self.items[item.key] = item
-            self.lapsed.pop(item.key, None)
+            self.retained_until.pop(item.key, None)
 
     def _remove(self, key: str, now: float) -> None:
-        if self.holds_lapsed and now < self.disturbed_until:
-            self.lapsed.setdefault(key, self.disturbed_until)
+        if self.retains_expired and now < self.distrusted_until:
+            self.retained_until.setdefault(key, self.distrusted_until)
             return
         self.items.pop(key, None)
-        self.told.pop(key, None)
-        self.lapsed.pop(key, None)
+        self.sources.pop(key, None)
+        self.retained_until.pop(key, None)
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self.listeners:
             listener()
 
 
-def difference(before: dict[str, Item], listing: Listing) -> Changes:
-    """Return what a listing shows that was not known before."""
+def diff(before: dict[str, Item], listing: Listing) -> Changes:
+    """Return the changes that lead from the items before to a listing."""
     found = {item.key for item in listing.items}
     newer = [
         item
         for item in listing.items
         if item.key not in before or before[item.key].revision < item.revision
     ]
-    gone = [Removal(key, listing.revision) for key in before if key not in found]
-    return Changes(tuple(newer), tuple(gone), listing.revision)
+    removals = [Removal(key, listing.revision) for key in before if key not in found]
+    return Changes(tuple(newer), tuple(removals), listing.revision)
 
 
-__all__ = ["LAPSE_HOLD_S", "Mirror", "difference"]
+__all__ = ["RETENTION_S", "Mirror", "diff"]
--- a/src/threadramp/fleet/organisations.py
+++ b/src/threadramp/fleet/organisations.py
@@ -1,7 +1,7 @@
-"""Organisations and their keys, as one version of the configuration names them.
+"""Organisations and their keys, as declared in one version of the configuration.
 
-Keys are kept as digests alone: what this module holds tells nobody a key. A version that changes
-one organisation takes over all others as they were decoded before, by the digests of their rows.
+Only digests of keys are kept, so no key can leak from this module. A version that changes one
+organisation reuses the decoded rows of all others, which are identified by their digests.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 def digest(secret: bytes) -> bytes:
-    """Return what stands for a key, or for a row of the configuration that holds keys."""
+    """Return the digest of a key, or of a configuration row that contains keys."""
     return sha256(secret).digest()
 
 
 @dataclass(frozen=True)
 class Organisation:
-    """Who may call.
+    """An organisation that may call.
 
-    :param keys: digests of the keys that it holds
-    :param priority: of its requests, 0 is the most urgent; none if the route's counts
+    :param keys: digests of its keys
+    :param priority: of its requests, 0 is the most urgent; none for the route's priority
     """
 
     name: str
@@ -38,9 +38,9 @@
 
 @dataclass(frozen=True)
 class FaultyRow:
-    """A row of the configuration that names no organisation.
+    """A row of the configuration that is no valid organisation.
 
-    :param place: in the list, such as ``[3]``
+    :param place: its index in the list, such as ``[3]``
     """
 
     place: str
@@ -52,15 +52,15 @@
 
 @dataclass(frozen=True)
 class Organisations:
-    """All organisations of one version, found by the digest of a key.
+    """All organisations of one version, looked up by the digest of a key.
 
-    What contradicts itself is nobody's: a key that two organisations hold, and all keys of a name
-    that stands twice. So nobody is ever taken for somebody else.
+    Ambiguous keys belong to no organisation: a key of two organisations, and all keys of a name
+    that is declared twice. So no caller is ever taken for another one.
 
-    :param rows: as they were decoded, by the digest of each row
-    :param by_key: the organisation that alone holds a key
-    :param by_name: those whose name stands once
-    :param faults: what is wrong, without any key
+    :param rows: decoded rows by their digests
+    :param by_key: the only organisation that holds a key, by key digest
+    :param by_name: organisations whose name is declared once
+    :param faults: descriptions of what is wrong, without any key
     """
 
     rows: dict[RowDigest, Row] = field(default_factory=dict)
@@ -74,23 +74,23 @@
     ) -> Organisations:
         """Return the organisations of a version.
 
-        :param before: of the version before; where neither has a fault only what differs is gone
-            through (``bench.slopes``: one key of 100,000 changed)
+        :param before: organisations of the previous version; if neither version has faults, only
+            the differences are processed (``bench.slopes``: one key of 100,000 changed)
         """
         table = list(rows)
         by_digest = dict(table)
         if before is not None and not before.faults and len(by_digest) == len(table):
-            changed = before._changed(by_digest)
+            changed = before._updated(by_digest)
             if changed is not None:
                 return changed
-        return cls._from_scratch(by_digest, [row for _, row in table])
+        return cls._rebuilt(by_digest, [row for _, row in table])
 
     def holder(self, key: bytes) -> Organisation | None:
-        """Return the organisation that holds a key, none if nobody does."""
+        """Return the organisation that holds a key, none if there is none."""
         return self.by_key.get(digest(key))
 
-    def _changed(self, rows: Mapping[RowDigest, Row]) -> Organisations | None:
-        """Return these with other rows; none if those bring a fault."""
+    def _updated(self, rows: Mapping[RowDigest, Row]) -> Organisations | None:
+        """Return the organisations updated to the given rows; none if these have a fault."""
         by_key = dict(self.by_key)
         by_name = dict(self.by_name)
         for gone in self.rows.keys() - rows.keys():
@@ -109,20 +109,24 @@
         return Organisations(dict(rows), by_key, by_name)
 
     @classmethod
-    def _from_scratch(cls, by_digest: dict[RowDigest, Row], rows: list[Row]) -> Organisations:
+    def _rebuilt(cls, by_digest: dict[RowDigest, Row], rows: list[Row]) -> Organisations:
         faults = [f"{row.place}: {row.reason}" for row in rows if isinstance(row, FaultyRow)]
-        sound = [row for row in rows if isinstance(row, Organisation)]
-        counts = Counter(row.name for row in sound)
-        faults += [f"{name} stands twice" for name, count in counts.items() if count > 1]
-        by_name = {row.name: row for row in sound if counts[row.name] == 1}
-        by_key, shared = _holders(sound)
-        faults += [f"{name} holds a key that another one holds too" for name in sorted(shared)]
+        valid = [row for row in rows if isinstance(row, Organisation)]
+        counts = Counter(row.name for row in valid)
+        faults += [
+            f"{name} is declared more than once" for name, count in counts.items() if count > 1
+        ]
+        by_name = {row.name: row for row in valid if counts[row.name] == 1}
+        by_key, shared = _holders(valid)
+        faults += [
+            f"{name} holds a key that another organisation also holds" for name in sorted(shared)
+        ]
         alone = {key: row for key, row in by_key.items() if row.name in by_name}
         return cls(by_digest, alone, by_name, tuple(faults))
 
 
 def _holders(rows: Iterable[Organisation]) -> tuple[dict[KeyDigest, Organisation], set[str]]:
-    """Return who alone holds each key, and the names of those that share one."""
+    """Return the only holder of each key, and the names of organisations that share a key."""
     holders: dict[KeyDigest, list[Organisation]] = {}
     for row in rows:
         for key in row.keys:
--- a/src/threadramp/fleet/peers.py
+++ b/src/threadramp/fleet/peers.py
@@ -1,4 +1,4 @@
-"""Exchanges with other processes of ours: signs of life, what each has seen, relayed calls."""
+"""Communication with other threadramp processes: heartbeats, mirror copies, relayed calls."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 from threadramp.fleet.facts import facts_for, serves_any
 from threadramp.fleet.fleet_view import Member
-from threadramp.fleet.mirror_sync import ALL_SEEN, MirrorSync
+from threadramp.fleet.mirror_sync import MAX_REVISION, MirrorSync
 from threadramp.fleet.recent_members import RecentMembers
-from threadramp.fleet.relaying import in_turn, relay_through
+from threadramp.fleet.relaying import interleave, relay_through
 from threadramp.fleet.unresponsive_gateways import UnresponsiveGateways
 from threadramp.fleet.watch_delegation import WatchDelegation
 from threadramp.policy.routing import rendezvous
@@ -27,17 +27,17 @@
     from threadramp.wire.runner import Facts
     from threadramp.wire.sync import SyncClient
 
-BEAT_S = 0.5
-BEAT_TIMEOUT_S = 0.4
-GATEWAYS_A_BEAT = 2
-BEATERS = 2  # gateways that regularly beat to one sidecar
-GATEWAY_REMEMBERED_S = 10.0  # one that loses its place has listed itself again within 3 s
-REMEMBERED_S = 5.0  # a sidecar that is not listed and does not answer is forgotten after this
+HEARTBEAT_INTERVAL_S = 0.5
+HEARTBEAT_TIMEOUT_S = 0.4
+GATEWAYS_PER_HEARTBEAT = 2
+GATEWAYS_PER_SIDECAR = 2  # gateways that regularly send heartbeats to one sidecar
+GATEWAY_RETENTION_S = 10.0  # one that was dropped from the list has registered again within 3 s
+SIDECAR_RETENTION_S = 5.0  # a sidecar that is not listed and does not answer is forgotten then
 UNLISTED_GRACE_S = 1.5
 
 
 class Peers:
-    """What one gateway says to its peers and hears from them."""
+    """One gateway's communication with its peers."""
 
     def __init__(
         self,
@@ -54,8 +54,8 @@
         self.clock = clock
         self.last_reply_at: dict[str, float] = {}
         self.unresponsive = UnresponsiveGateways()
-        self.sidecars_lately = RecentMembers(REMEMBERED_S)
-        self.other_gateways_lately = RecentMembers(GATEWAY_REMEMBERED_S)
+        self.sidecar_history = RecentMembers(SIDECAR_RETENTION_S)
+        self.gateway_history = RecentMembers(GATEWAY_RETENTION_S)
         self.stopped = threading.Event()
         self.on_unlisted: Callable[[], None] = lambda: None
         self.list_members: Callable[[], Listing] = lambda: fleet_view.members.copy()
@@ -66,7 +66,7 @@
 
     @property
     def sender_fields(self) -> tuple[str, str]:
-        """Return the sender's fields of what is asked."""
+        """Return the sender fields of a request: name and address of this process."""
         return (self.member.name, self.member.address)
 
     @property
@@ -75,7 +75,7 @@
         return self.member.data_centre
 
     def start(self) -> None:
-        """Start beating."""
+        """Start sending heartbeats."""
         start_loop(self._run, self.stopped)
 
     def ask(self, address: str, ask: AnyAsk, timeout_s: float) -> AnyReply | None:
@@ -110,7 +110,7 @@
         return found
 
     def gateways(self) -> list[Member]:
-        """Return the other gateways, those that were heard lately first."""
+        """Return the other gateways, those with the latest reply first."""
         others = [
             one for one in self.fleet_view.snapshot.gateways() if one.name != self.member.name
         ]
@@ -118,37 +118,37 @@
         return others
 
     def recent_gateways(self) -> list[Member]:
-        """Return the other gateways that are listed, and those that were or answered lately."""
+        """Return the other gateways that are listed, recently were, or recently replied."""
         now = self.clock.now()
-        self.other_gateways_lately.note(self.gateways(), now)
-        return self.other_gateways_lately.known(self.last_reply_at, now)
+        self.gateway_history.record(self.gateways(), now)
+        return self.gateway_history.current(self.last_reply_at, now)
 
     def live_gateways(self) -> list[Member]:
-        """Return the gateways that are listed and not silent, this one among them.
+        """Return the gateways that are listed and responsive, including this one.
 
-        For the question whose lots lie idle: their owner's entry may outlast it by seconds, and by
-        a whole outage of the store. Taking a lot over from one that lives does no harm.
+        Used to find orphaned lots: an owner's entry may outlive its process by seconds, and by a
+        whole outage of the store. Taking over a lot from a live owner does no harm.
         """
         listed = self.fleet_view.snapshot.gateways()
         live = [one for one in listed if not self.unresponsive.is_unresponsive(one)]
         return live if any(one.name == self.member.name for one in live) else [*live, self.member]
 
     def sidecars(self) -> list[Member]:
-        """Return the sidecars in the list of members and those that answered lately.
+        """Return the sidecars in the member list and those that recently replied.
 
-        A sidecar may lose its place in the list without being told; it learns that from us.
+        A sidecar may be dropped from the list without notice; it learns that from heartbeats.
         """
         now = self.clock.now()
-        self.sidecars_lately.note(self.fleet_view.snapshot.sidecars(), now)
-        return self.sidecars_lately.known(self.last_reply_at, now)
+        self.sidecar_history.record(self.fleet_view.snapshot.sidecars(), now)
+        return self.sidecar_history.current(self.last_reply_at, now)
 
     def sidecars_for(self, models: Set[str]) -> list[Member]:
-        """Return the sidecars whose engines are asked for samples of these models."""
+        """Return the sidecars whose engines are used for samples of these models."""
         snapshot = self.fleet_view.snapshot
         return [one for one in self.sidecars() if serves_any(one, models, snapshot)]
 
     def reload_members(self) -> None:
-        """Read the list of members from the store itself.
+        """Reload the member list from the store.
 
         :raises StoreError: if no answer came
         """
@@ -156,96 +156,101 @@
         self.fleet_view.members.replace(listing, self.clock.now())
 
     def relay(self, call: Call) -> RawAnswer | None:
-        """Pass a call to the store through a peer."""
+        """Relay a call to the store through a peer."""
         ask = CallStore(*self.sender_fields, call)
         return relay_through(self.relay_addresses(), ask, self.ask)
 
     def relay_addresses(self) -> list[str]:
-        """Return the addresses of peers that may have a way, those that were heard lately first."""
+        """Return the addresses of peers that may reach the store, latest reply first."""
         sidecars = sorted(
             self.sidecars(), key=lambda one: -self.last_reply_at.get(one.address, 0.0)
         )
-        return in_turn([one.address for one in self.gateways()], [one.address for one in sidecars])
+        return interleave(
+            [one.address for one in self.gateways()], [one.address for one in sidecars]
+        )
 
     def facts_for(self, sidecar: Member) -> Facts:
-        """Return what a sidecar needs to know."""
+        """Return the facts for a sidecar from the current snapshot."""
         return facts_for(sidecar, self.fleet_view.snapshot)
 
     def push_changes(self, prefix: str, after: int, changes: Changes) -> None:
-        """Tell the gateways that follow this one what changed after a revision."""
+        """Push the changes after a revision to the gateways that follow this one."""
         ask = MirrorChanges(
             *self.sender_fields, prefix, after, changes.revision, changes.items, changes.removals
         )
         asks = {one.address: ask for one in self.watch_delegation.followers()}
         if asks:
-            self.ask_all(asks, BEAT_TIMEOUT_S)
+            self.ask_all(asks, HEARTBEAT_TIMEOUT_S)
 
     def _members_changed(self) -> None:
-        self.other_gateways_lately.changed(self.gateways(), self.clock.now())
+        self.gateway_history.record_change(self.gateways(), self.clock.now())
 
     def _run(self) -> None:
-        while not self.stopped.wait(BEAT_S):
+        while not self.stopped.wait(HEARTBEAT_INTERVAL_S):
             now = self.clock.now()
             for mirror in self.fleet_view.mirrors:
                 mirror.expire(now)
             self._check_listed(now)
-            self._beat_sidecars()
-            self._beat_gateways()
-            self.watch_delegation.follows()  # watches ask only between two answers of the store
+            self._send_sidecar_heartbeats()
+            self._exchange_with_gateways()
+            # Re-evaluated here too, because watches check it only between two answers of the store.
+            self.watch_delegation.follows()
 
-    def _beat_sidecars(self) -> None:
+    def _send_sidecar_heartbeats(self) -> None:
         gateways = [one.name for one in self.fleet_view.snapshot.gateways()]
         asks = {}
         for sidecar in self.sidecars():
-            if self.member.name in rendezvous(sidecar.name, gateways)[:BEATERS]:
+            if self.member.name in rendezvous(sidecar.name, gateways)[:GATEWAYS_PER_SIDECAR]:
                 asks[sidecar.address] = Beat(*self.sender_fields, self.facts_for(sidecar))
-        self.ask_all(asks, BEAT_TIMEOUT_S)
+        self.ask_all(asks, HEARTBEAT_TIMEOUT_S)
 
-    def _beat_gateways(self) -> None:
-        """Ask some other gateways, or all while the store is away, what they have seen."""
-        asked = self._beaten()
+    def _exchange_with_gateways(self) -> None:
+        """Ask some other gateways for newer data, or all while the store is unreachable."""
+        asked = self._heartbeat_targets()
         asked_at = self.clock.now()
-        replies = self.ask_all({one.address: self._beat_for(one) for one in asked}, BEAT_TIMEOUT_S)
-        self.unresponsive.note(asked, set(replies), self.fleet_view.snapshot.gateways())
+        replies = self.ask_all(
+            {one.address: self._heartbeat_for(one) for one in asked}, HEARTBEAT_TIMEOUT_S
+        )
+        self.unresponsive.record(asked, set(replies), self.fleet_view.snapshot.gateways())
         for member in asked:
             reply = replies.get(member.address)
             if isinstance(reply, MirrorCopy):
-                self.watch_delegation.note(member.name, reply.confirmed_ago_s)
-                self.mirror_sync.take_over(reply, member.name, asked_at)
+                self.watch_delegation.record_confirmation(member.name, reply.confirmed_ago_s)
+                self.mirror_sync.apply_copy(reply, member.name, asked_at)
 
-    def _beat_for(self, member: Member) -> MirrorBeat:
-        """Return the question for a gateway.
+    def _heartbeat_for(self, member: Member) -> MirrorBeat:
+        """Return the heartbeat for a gateway.
 
-        One that stands in for the watcher of this data centre is asked only whether it has a way:
-        it is ahead by some tenths of a second half of the time, and would send whole copies from
+        The fallback watcher in another data centre is asked only whether it can reach the store:
+        half of the time it is some tenths of a second ahead, and would send complete copies from
         one data centre to another.
         """
-        stands_in = (
+        is_fallback = (
             member.data_centre != self.data_centre and member in self.watch_delegation.leaders()
         )
         if (
-            stands_in
-            and not self.health.is_away
+            is_fallback
+            and not self.health.is_unreachable
             and self.watch_delegation.receives_pushed_changes()
         ):
             return MirrorBeat(
-                *self.sender_fields, dict.fromkeys(self.mirror_sync.revisions(), ALL_SEEN)
+                *self.sender_fields, dict.fromkeys(self.mirror_sync.revisions(), MAX_REVISION)
             )
         return MirrorBeat(*self.sender_fields, self.mirror_sync.revisions())
 
-    def _beaten(self) -> list[Member]:
-        """Return the gateways that are asked this time, those that this one follows among them."""
+    def _heartbeat_targets(self) -> list[Member]:
+        """Return the gateways to ask this time, including those that this one follows."""
         others = self.gateways()
-        if self.health.is_away:
+        if self.health.is_unreachable:
             return others
-        longest_unheard = others[-GATEWAYS_A_BEAT:]
+        least_recent = others[-GATEWAYS_PER_HEARTBEAT:]
         if self.watch_delegation.is_watcher():
-            return longest_unheard
-        asked = [*longest_unheard, *self.watch_delegation.leaders()]
+            return least_recent
+        asked = [*least_recent, *self.watch_delegation.leaders()]
         return list({one.name: one for one in asked}.values())  # each once
 
     def _check_listed(self, now: float) -> None:
-        """Notice when the list of members lacks this process for a while."""
+        """Detect that the member list has lacked this process for a while."""
         if (
             not self.fleet_view.members.is_loaded
             or self.member.name in self.fleet_view.snapshot.members
--- a/src/threadramp/fleet/recent_members.py
+++ b/src/threadramp/fleet/recent_members.py
@@ -1,6 +1,6 @@
-"""Members that were listed or answered lately, though the list may lack them now.
+"""Members that were recently listed or replied, although the member list may lack them now.
 
-A process may lose its place in the list without being told, and lists itself again only 2 s later.
+A process may be dropped from the member list without notice, and registers again only 2 s later.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 
 
 class RecentMembers:
-    """Remembers members for a while; its methods may be called from any thread.
+    """Remembers members for a while; thread-safe.
 
-    :param kept_s: after the last listing or answer, whichever is later
+    :param retention_s: time after the last listing or reply, whichever is later
     """
 
-    def __init__(self, kept_s: float) -> None:
-        self.kept_s = kept_s
+    def __init__(self, retention_s: float) -> None:
+        self.retention_s = retention_s
         self.members: dict[str, Member] = {}
         self.listed_at: dict[str, float] = {}
         self.listed: tuple[Member, ...] = ()
         self.lock = threading.Lock()
 
-    def note(self, listed: Iterable[Member], now: float) -> None:
-        """Take note of the members that are listed now."""
+    def record(self, listed: Iterable[Member], now: float) -> None:
+        """Record the members that are listed now."""
         with self.lock:
             for member in listed:
                 self.members[member.name] = member
                 self.listed_at[member.name] = now
 
-    def changed(self, listed: Iterable[Member], now: float) -> None:
-        """Take note of a list that has just changed: what it lacks now was listed until now."""
+    def record_change(self, listed: Iterable[Member], now: float) -> None:
+        """Record a changed list: members that it no longer has were listed until now."""
         before, self.listed = self.listed, tuple(listed)
-        self.note(before, now)
-        self.note(self.listed, now)
+        self.record(before, now)
+        self.record(self.listed, now)
 
-    def known(self, heard: Mapping[str, float], now: float) -> list[Member]:
-        """Return those that are remembered, in the order of their names.
+    def current(self, last_reply_at: Mapping[str, float], now: float) -> list[Member]:
+        """Return the remembered members, sorted by name.
 
-        :param heard: time of the last answer, by address
+        :param last_reply_at: time of the last reply, by address
         """
         with self.lock:
             for name, member in list(self.members.items()):
-                last = max(self.listed_at[name], heard.get(member.address, 0.0))
-                if last < now - self.kept_s:
+                last = max(self.listed_at[name], last_reply_at.get(member.address, 0.0))
+                if last < now - self.retention_s:
                     del self.members[name]
                     del self.listed_at[name]
             return [self.members[name] for name in sorted(self.members)]
--- a/src/threadramp/fleet/relaying.py
+++ b/src/threadramp/fleet/relaying.py
@@ -1,10 +1,10 @@
-"""Passes calls to the store through peers that have a way to it: gateways and sidecars.
+"""Relays calls to the store through peers that can reach it: gateways and sidecars.
 
-All gateways may be cut from the store at once while the sidecars are not, and the other way round.
+All gateways may be disconnected from the store at once while the sidecars are not, and vice versa.
 
-A message that a cut holds up may arrive when its sender has long given it up, and a process that
-stood still takes what came meanwhile as if it had just been sent. So whoever passes a write on does
-so only with a mark that it has given out lately, by its own clock, and only once.
+A message that a network cut delays may arrive long after its sender has given up, and a process
+that was suspended handles what arrived meanwhile as if it had just been sent. So a relay passes on
+a write only with a one-time token that it issued recently by its own clock.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
     from threadramp.platform.store_model import Call, RawAnswer
     from threadramp.wire.fleet import AnyReply
 
-RELAY_TIMEOUT_S = 2.2  # a little longer than the call that is passed on
-READS = "GET"  # the method of calls that change nothing
-MARK_BYTES = 8
-RELAY_TRIES = 4  # peers; one that is turned away as well says so at once
+RELAY_TIMEOUT_S = 2.2  # a little longer than the relayed call
+READ_METHOD = "GET"  # method of calls that change nothing
+TOKEN_BYTES = 8
+MAX_RELAY_ATTEMPTS = 4  # a peer that the store refuses as well replies at once
 
 
 def relay_through(
@@ -39,43 +39,43 @@
     ask: CallStore,
     send: Callable[[str, CallStore, float], AnyReply | None],
 ) -> RawAnswer | None:
-    """Return the store's answer through the first peer that has one, none if none has.
+    """Return the store's answer from the first peer that gets one, none if no peer does.
 
-    :param addresses: of peers, those that are tried first at the front
-    :param send: sends one question to an address, with a time limit in seconds
+    :param addresses: addresses of peers, in the order in which they are tried
+    :param send: sends one request to an address, with a timeout in seconds
     """
-    for address, _ in zip(addresses, range(RELAY_TRIES), strict=False):
-        reply = _sent(address, ask, send)
+    for address, _ in zip(addresses, range(MAX_RELAY_ATTEMPTS), strict=False):
+        reply = _send_call(address, ask, send)
         if isinstance(reply, StoreAnswered) and reply.answer is not None:
             log_state("store_call_relayed", path=_path(ask.call), through=address)
             return reply.answer
     return None
 
 
-def in_turn(gateways: Iterable[str], sidecars: Iterable[str]) -> list[str]:
-    """Return the addresses of both kinds in turn, since one kind may be cut off as a whole."""
+def interleave(gateways: Iterable[str], sidecars: Iterable[str]) -> list[str]:
+    """Return the addresses of both kinds alternately: one kind may be disconnected as a whole."""
     rows = zip_longest(gateways, sidecars)
     return [address for address in chain.from_iterable(rows) if address is not None]
 
 
 class StoreRelay:
-    """Calls to the store that peers pass through this process.
+    """Relays calls to the store for peers.
 
-    :ivar marks: that were given out, with the moment until which each holds
+    :ivar tokens: issued one-time tokens, with the time at which each expires
     """
 
     def __init__(self, store: StoreClient, health: StoreHealth) -> None:
         self.store = store
         self.health = health
         self.lock = threading.Lock()
-        self.marks: dict[str, float] = {}
+        self.tokens: dict[str, float] = {}
 
     def answer(self, ask: CallStore) -> StoreAnswered:
-        """Pass a call on; no answer if the store does not serve this process either."""
-        if self.health.is_away:
+        """Relay a call; reply without an answer if this process cannot reach the store either."""
+        if self.health.is_unreachable:
             return StoreAnswered(None)
-        if _needs_mark(ask) and not self._take_mark(ask):
-            return StoreAnswered(None, self._give_mark())
+        if _needs_token(ask) and not self._consume_token(ask):
+            return StoreAnswered(None, self._issue_token())
         try:
             answer = self.store.direct(ask.call)
         except StoreError as error:
@@ -83,30 +83,30 @@
             return StoreAnswered(None)
         return StoreAnswered(None if answer.turned_away else answer)
 
-    def _give_mark(self) -> str:
+    def _issue_token(self) -> str:
         now = self.health.clock.now()
-        mark = secrets.token_hex(MARK_BYTES)
+        token = secrets.token_hex(TOKEN_BYTES)
         with self.lock:
-            self.marks = {one: until for one, until in self.marks.items() if until >= now}
-            self.marks[mark] = now + RELAY_TIMEOUT_S
-        return mark
+            self.tokens = {one: until for one, until in self.tokens.items() if until >= now}
+            self.tokens[token] = now + RELAY_TIMEOUT_S
+        return token
 
-    def _take_mark(self, ask: CallStore) -> bool:
-        """Return whether a write has a mark that holds; it does not any more after that."""
+    def _consume_token(self, ask: CallStore) -> bool:
+        """Return whether a write has a valid token, which is used up by this."""
         with self.lock:
-            until = self.marks.pop(ask.mark, None)
+            until = self.tokens.pop(ask.mark, None)
         if until is not None and self.health.clock.now() <= until:
             return True
         if ask.mark:
-            log_state("relay_late", asker=ask.sender, path=_path(ask.call))
+            log_state("relay_token_rejected", asker=ask.sender, path=_path(ask.call))
         return False
 
 
-def _sent(
+def _send_call(
     address: str, ask: CallStore, send: Callable[[str, CallStore, float], AnyReply | None]
 ) -> AnyReply | None:
-    """Send a call to a peer, a write with the mark that the peer gives for it."""
-    if ask.call.method == READS:
+    """Send a call to a peer, a write with the token that the peer issues for it."""
+    if ask.call.method == READ_METHOD:
         return send(address, ask, RELAY_TIMEOUT_S)
     reply = send(address, replace(ask, mark=""), RELAY_TIMEOUT_S)
     if isinstance(reply, StoreAnswered) and reply.mark:
@@ -114,12 +114,12 @@
     return reply
 
 
-def _needs_mark(ask: CallStore) -> bool:
-    return ask.mark is not None and ask.call.method != READS
+def _needs_token(ask: CallStore) -> bool:
+    return ask.mark is not None and ask.call.method != READ_METHOD
 
 
 def _path(call: Call) -> str:
     return call.path.partition("?")[0]
 
 
-__all__ = ["StoreRelay", "in_turn", "relay_through"]
+__all__ = ["StoreRelay", "interleave", "relay_through"]
--- a/src/threadramp/fleet/runner_members.py
+++ b/src/threadramp/fleet/runner_members.py
@@ -1,4 +1,4 @@
-"""Whom a lot's gateway asks to run samples at which engine."""
+"""Which processes a lot's gateway asks to run samples at which engine."""
 
 from __future__ import annotations
 
@@ -19,32 +19,34 @@
     from threadramp.fleet.model import Endpoint
     from threadramp.fleet.peers import Peers
 
-# An engine that was never seen with a sidecar is left alone for so long: after the start of all
-# processes the sidecars list themselves within a second.
-NOT_LISTED_S = 1.0
+# Grace period for an engine that was never seen with a sidecar: when all processes start at once,
+# the sidecars register within a second.
+LISTING_GRACE_S = 1.0
 
 
 class RunnerMembers:
-    """Says for each engine which process runs samples there, and logs each change."""
+    """Decides for each engine which process runs samples there, and logs each change."""
 
     def __init__(self, peers: Peers, clock: Clock) -> None:
         self.peers = peers
         self.clock = clock
-        self.bare_since: dict[str, float] = {}
+        self.without_sidecar_since: dict[str, float] = {}
         self.by_engine: dict[str, str] = {}
 
-    def members(self, models: Set[str], silent: Collection[str]) -> list[Member]:
+    def members(self, models: Set[str], unresponsive: Collection[str]) -> list[Member]:
         """Return the processes to ask for samples of these models.
 
-        Silent sidecars stay among them, so that one that is back is noticed.
+        Unresponsive sidecars are included, so that their return is noticed.
 
-        :param silent: names of those that do not answer
+        :param unresponsive: names of unresponsive sidecars and hosts
         """
         snapshot = self.peers.fleet_view.snapshot
         sidecars = self.peers.sidecars_for(models)
-        found = {one.endpoint: one for one in sidecars if one.name not in silent}
-        hosts = self._hosts(snapshot, models, found, {one.endpoint for one in sidecars}, silent)
-        self._log(found | hosts)
+        found = {one.endpoint: one for one in sidecars if one.name not in unresponsive}
+        hosts = self._hosts(
+            snapshot, models, found, {one.endpoint for one in sidecars}, unresponsive
+        )
+        self._log_changes(found | hosts)
         return [*sidecars, *hosts.values()]
 
     def _hosts(
@@ -53,30 +55,35 @@
         models: Set[str],
         covered: Collection[str],
         listed: Collection[str],
-        silent: Collection[str],
+        unresponsive: Collection[str],
     ) -> dict[str, Member]:
-        """Return what stands in for a sidecar, by the address of its engine."""
+        """Return the gateways that host engines without a sidecar, by the engine's address."""
         now = self.clock.now()
-        bare = [one for one in engines(snapshot) if one.address not in covered]
-        self.bare_since = {one.address: self.bare_since.get(one.address, now) for one in bare}
+        without_sidecar = [one for one in engines(snapshot) if one.address not in covered]
+        self.without_sidecar_since = {
+            one.address: self.without_sidecar_since.get(one.address, now) for one in without_sidecar
+        }
         gateways = self.peers.live_gateways()
-        not_answering = {name.partition("@")[0] for name in silent if "@" in name}
+        unresponsive_hosts = {name.partition("@")[0] for name in unresponsive if "@" in name}
         hosts = {}
-        for engine in bare:
-            waits = engine.address not in listed
-            if waits and now - self.bare_since[engine.address] < NOT_LISTED_S:
+        for engine in without_sidecar:
+            awaits_sidecar = engine.address not in listed
+            if (
+                awaits_sidecar
+                and now - self.without_sidecar_since[engine.address] < LISTING_GRACE_S
+            ):
                 continue
-            host = host_of(engine.address, engine.data_centre, gateways, not_answering)
+            host = host_of(engine.address, engine.data_centre, gateways, unresponsive_hosts)
             if host is None:
-                log_state("engine_has_nobody", engine=engine.address)
+                log_state("engine_without_host", engine=engine.address)
                 continue
             hosted = hosted_member(host, engine.address)
             if serves_any(hosted, models, snapshot):
                 hosts[engine.address] = hosted
         return hosts
 
-    def _log(self, by_engine: dict[str, Member]) -> None:
-        """Log which engines are run by another process than before."""
+    def _log_changes(self, by_engine: dict[str, Member]) -> None:
+        """Log engines whose samples are run by another process than before."""
         names = {address: one.name for address, one in by_engine.items()}
         for address, name in names.items():
             before = self.by_engine.get(address, "")
@@ -86,7 +93,7 @@
 
 
 def engines(snapshot: FleetSnapshot) -> Iterable[Endpoint]:
-    """Return the endpoints that run samples and want new work."""
+    """Return the endpoints that run samples and accept new work."""
     return [
         one
         for one in snapshot.endpoints.values()
@@ -95,7 +102,7 @@
 
 
 def hosted_member(gateway: Member, engine: str) -> Member:
-    """Return a gateway as the runner of an engine that has no sidecar."""
+    """Return a gateway as the host of an engine that has no sidecar."""
     return replace(gateway, name=f"{gateway.name}@{engine}", role=HOST_ROLE, endpoint=engine)
 
 
--- a/src/threadramp/fleet/unresponsive_gateways.py
+++ b/src/threadramp/fleet/unresponsive_gateways.py
@@ -1,4 +1,4 @@
-"""Which gateways leave questions unanswered though they are listed."""
+"""Detects gateways that are listed but do not answer heartbeats."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 
     from threadramp.fleet.fleet_view import Member
 
-MAX_MISSED_BEATS = 4  # unanswered in a row, 0.5 s apart: about the time in which a freeze is over
+MAX_MISSED_BEATS = 4  # consecutive, 0.5 s apart: about as long as a process may freeze
 
 
 class UnresponsiveGateways:
-    """Counts for each gateway's process the beats in a row that it did not answer."""
+    """Counts for each gateway process the consecutive heartbeats that it did not answer."""
 
     def __init__(self) -> None:
-        self.beats: dict[tuple[str, str], int] = {}
+        self.missed: dict[tuple[str, str], int] = {}
 
     def is_unresponsive(self, member: Member) -> bool:
-        """Return whether a gateway counts as gone."""
-        return self.beats.get(_process(member), 0) >= MAX_MISSED_BEATS
+        """Return whether a gateway counts as failed."""
+        return self.missed.get(_process(member), 0) >= MAX_MISSED_BEATS
 
-    def note(
+    def record(
         self, asked: Iterable[Member], answered: Collection[str], listed: Iterable[Member]
     ) -> None:
-        """Note who answered a beat.
+        """Record which gateways answered a heartbeat.
 
-        :param answered: addresses
-        :param listed: all gateways in the list of members; others are forgotten
+        :param asked: gateways that it was sent to
+        :param answered: addresses of those that answered
+        :param listed: all gateways in the member list; others are forgotten
         """
-        for gone in self.beats.keys() - {_process(one) for one in listed}:
-            del self.beats[gone]
+        for process in self.missed.keys() - {_process(one) for one in listed}:
+            del self.missed[process]
         for member in asked:
             if member.address in answered:
-                self.beats.pop(_process(member), None)
+                self.missed.pop(_process(member), None)
             else:
                 self._count(member)
 
     def _count(self, member: Member) -> None:
-        count = self.beats.get(_process(member), 0) + 1
-        self.beats[_process(member)] = count
+        count = self.missed.get(_process(member), 0) + 1
+        self.missed[_process(member)] = count
         if count == MAX_MISSED_BEATS:
-            log_state("gateway_not_answering", gateway=member.name, beats=MAX_MISSED_BEATS)
+            log_state("gateway_unresponsive", gateway=member.name, missed=MAX_MISSED_BEATS)
 
 
 def _process(member: Member) -> tuple[str, str]:
--- a/src/threadramp/fleet/watcher.py
+++ b/src/threadramp/fleet/watcher.py
@@ -1,10 +1,11 @@
-"""Keeps a mirror in step with the store: list, then watch, then list again when history is gone.
+"""Keeps a mirror in sync with the store: list, watch, and list again after a history compaction.
 
-Where others watch for this gateway, it does neither, until they have no way or are silent.
+While other gateways watch for this one, it does neither, until they cannot reach the store or do
+not respond.
 
-That a watch brings nothing may mean that nothing changed or that its connection passes nothing any
-more. So each wait is short enough for the bounds on what it would bring, one that stays out makes
-all open connections suspect, and so does another call that stays out while the store answers.
+A watch without an answer may mean that nothing changed or that its connection is dead. So each wait
+is short enough for the bounds on the changes that it would bring. A watch that times out makes all
+open connections suspect, and so does another call that times out while the store answers.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.fleet.mirror import LAPSE_HOLD_S, difference
+from threadramp.fleet.mirror import RETENTION_S, diff
 from threadramp.platform.store_model import GivenUpError, HistoryGone, StoreError
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
@@ -26,28 +27,28 @@
     from threadramp.platform.store import StoreClient
     from threadramp.platform.store_model import Changes
 
-WATCH_WAIT_S = 10.0  # each answer is a priced call; for what has no bound, or peers tell as well
-# Of the time after which a disturbed box is held to its bounds again: for a watch that stays out
-# (0.6), a listing, and the next beat to sidecars (0.5).
-TOLD_S = 1.3
-WATCH_WAIT_LEAST_S = 0.5  # each wait ends with a priced call
+WATCH_WAIT_S = 10.0  # each answer is a billed call; for data without a bound, or also sent by peers
+# Part of the time after which a disturbed box must meet its bounds again: for the time-out of a
+# watch (0.6 s), a listing, and the next heartbeat to sidecars (0.5 s).
+PROPAGATION_S = 1.3
+MIN_WATCH_WAIT_S = 0.5  # each wait ends with a billed call
 RETRY_PAUSE_S = 0.4
-FOLLOW_LOOK_S = 0.1  # how often a gateway that follows others looks whether it still may
-BATCH_WINDOW_S = 0.4  # changes of this time come with one answer, where a moment does not matter
-# Of the time within which a leaving endpoint must get nothing new; the rest is for the answer, the
-# way to those that follow, the sidecars' next question and a busy processor.
-GATHER_SHARE = 0.2
+FOLLOW_CHECK_INTERVAL_S = 0.1  # how often a following gateway checks whether it still may follow
+BATCH_WINDOW_S = 0.4  # changes within this time come in one answer, where a short delay is harmless
+# Share of the time after which a leaving endpoint must get no new work; the rest is for the answer,
+# the push to followers, the sidecars' next request and a busy processor.
+BATCH_SHARE = 0.2
 
 
 class Watcher:
     """One thread that watches one prefix.
 
-    :param batches: whether changes may wait a little, so that several come with one priced answer
-    :param batch_window_s: for so long they may wait then
-    :param wait_s: after which the store answers though nothing changed
-    :param follows: whether others watch for this gateway now
-    :param push_changes: tells the gateways that follow this one what changed after a revision
-    :param peer_is_served: whether the store answered another gateway lately
+    :param batches: whether changes may be delayed so that several come in one billed answer
+    :param batch_window_s: that delay
+    :param wait_s: time after which the store answers although nothing changed
+    :param follows: whether other gateways watch for this one now
+    :param push_changes: sends the changes after a revision to the followers of this gateway
+    :param peer_reaches_store: whether the store answered another gateway recently
     """
 
     def __init__(
@@ -77,53 +78,53 @@
         self.stale = True
         self.asked_at: float | None = None
         self.stopped = threading.Event()
-        health.on_return.append(self._returned)
-        store.on_silence.append(self._give_up)
+        health.on_recovery.append(self._on_recovery)
+        store.on_silence.append(self._abandon_watch)
 
     def start(self) -> None:
         """Start watching."""
         start_loop(self._run, self.stopped)
 
-    def one_turn(self) -> None:
-        """Follow others, or take one answer of the store."""
+    def run_once(self) -> None:
+        """Follow other gateways, or process one answer of the store."""
         if self.follows():
             self._follow()
             return
         try:
-            self._turn()
+            self._watch_once()
         except GivenUpError as error:
-            self._log_cut(error)
+            self._log_failure(error)
         except StoreError as error:
-            self._cut(error)
+            self._handle_failure(error)
 
     def _run(self) -> None:
         while not self.stopped.is_set():
-            self.one_turn()
+            self.run_once()
 
-    def _cut(self, error: StoreError) -> None:
-        """Take note of a watch that was cut; that alone says nothing of the entries."""
+    def _handle_failure(self, error: StoreError) -> None:
+        """Handle a watch that failed; a failed watch alone does not mean that entries expired."""
         self.stale = True
-        if self.health.was_away():
-            self._doubt_removals(self.clock.now())
-        self._log_cut(error)
-        if self._stayed_out():
+        if self.health.was_unreachable():
+            self._distrust_removals(self.clock.now())
+        self._log_failure(error)
+        if self._timed_out():
             self.store.went_silent()
         else:
             self.stopped.wait(RETRY_PAUSE_S)
 
-    def _stayed_out(self) -> bool:
-        """Return whether the last watch waited for longer than the store may take to answer."""
+    def _timed_out(self) -> bool:
+        """Return whether the last watch waited longer than the store may take to answer."""
         waited_s = self._waited_s()
         return waited_s is not None and waited_s > self.wait_s
 
     def _waited_s(self) -> float | None:
-        """Return for how long the watch waited, none if a listing failed."""
+        """Return how long the watch waited, none if a listing failed."""
         return None if self.asked_at is None else self.clock.now() - self.asked_at
 
-    def _log_cut(self, error: StoreError) -> None:
-        """Log for how long it had waited, beside when the store last answered other calls."""
+    def _log_failure(self, error: StoreError) -> None:
+        """Log how long the watch waited, and when the store last answered other calls."""
         log_state(
-            "watch_cut",
+            "watch_failed",
             prefix=self.mirror.prefix,
             error=str(error),
             waited_s=_rounded(self._waited_s()),
@@ -131,43 +132,43 @@
         )
 
     def _follow(self) -> None:
-        """Leave the mirror to what others tell; what this watch knew is old by its next turn."""
+        """Leave updates of the mirror to others; list again before the next watch."""
         self.stale = True
-        if self.health.is_away:
-            self._doubt_removals(self.clock.now())
-        self.stopped.wait(FOLLOW_LOOK_S)
+        if self.health.is_unreachable:
+            self._distrust_removals(self.clock.now())
+        self.stopped.wait(FOLLOW_CHECK_INTERVAL_S)
 
-    def _turn(self) -> None:
+    def _watch_once(self) -> None:
         if self.stale:
             self._list()
         self.asked_at = self.clock.now()
         changes = self.store.watch(self.mirror.prefix, self.mirror.revision, self.wait_s, self.line)
         if isinstance(changes, HistoryGone):
             self.stale = True
-            log_state("watch_history_gone", prefix=self.mirror.prefix)
+            log_state("watch_history_compacted", prefix=self.mirror.prefix)
             return
         before = self.mirror.revision
         now = self.clock.now()
         self.mirror.apply(changes, now)
-        self.mirror.was_current(self._current_as_of(changes, now))
-        self._spread(before, changes)
+        self.mirror.confirm_current(self._current_as_of(changes, now))
+        self._push_changes(before, changes)
         if self.batches and changes.items:
             self.stopped.wait(self.batch_window_s)
 
     def _current_as_of(self, changes: Changes, now: float) -> float:
-        """Return the latest time at which the store certainly showed what a watch brought.
+        """Return the latest time at which the store certainly had the state that a watch returned.
 
-        The answer may have lain in a buffer, or this thread may have waited for a processor. Dated
-        by its arrival, a configuration passed for newer than the store had confirmed it, and a key
-        was accepted for that much longer after it was taken away. An empty answer leaves the store
-        once the wait is over, and any other one some time after the watch was sent.
+        The answer may have been buffered, or this thread may have waited for a processor. When
+        answers were dated by their arrival, a configuration counted as confirmed later than it
+        was, and a revoked key was accepted for that much longer. The store sends an empty answer
+        when the wait is over, and any other answer some time after the watch was sent.
         """
         is_empty = not changes.items and not changes.removals
         waited = is_empty and now - self.asked_at >= self.wait_s
         return self.asked_at + self.wait_s if waited else self.asked_at
 
     def _list(self) -> None:
-        """Read the prefix as a whole, and tell those that follow what differs."""
+        """List the whole prefix, and push the differences to followers."""
         self.asked_at = None
         begun = self.clock.now()
         listing = self.store.list(self.mirror.prefix)
@@ -175,48 +176,48 @@
         before, known = self.mirror.snapshot(), self.mirror.revision
         if not self.mirror.replace(listing, self.clock.now()):
             return
-        self.mirror.was_current(begun)
+        self.mirror.confirm_current(begun)
         if known:
-            self._spread(known, difference(before, listing))
+            self._push_changes(known, diff(before, listing))
 
-    def _spread(self, after: int, changes: Changes) -> None:
+    def _push_changes(self, after: int, changes: Changes) -> None:
         self.push_changes(self.mirror.prefix, after, changes)
 
-    def _doubt_removals(self, now: float) -> None:
-        """Doubt removals for a while from now, if the store was away.
+    def _distrust_removals(self, now: float) -> None:
+        """Retain removed entries for a while, unless another gateway reaches the store.
 
-        Where it serves another gateway only the way from here is shut: entries are renewed, and
-        one that goes has gone. Doubted, it got requests beyond the bound for leaving endpoints.
+        If one does, only the path from here is broken: entries are still renewed, and a removal is
+        real. Retaining them sent requests to leaving endpoints beyond the bound for these.
         """
         if not self.peer_reaches_store():
-            self.mirror.disturbed(now + LAPSE_HOLD_S)
+            self.mirror.distrust_removals(now + RETENTION_S)
 
-    def _returned(self, now: float) -> None:
-        """Give up a watch that may hang on a dead connection since before the outage."""
-        self._doubt_removals(now)
+    def _on_recovery(self, now: float) -> None:
+        """Abandon a watch that may hang on a dead connection since before the outage."""
+        self._distrust_removals(now)
         self.store.give_up_lines()
-        self._give_up()
+        self._abandon_watch()
 
-    def _give_up(self) -> None:
-        """Give up the connection of the watch, and list what it may have missed."""
+    def _abandon_watch(self) -> None:
+        """Close the watch's connection, and list again what it may have missed."""
         self.stale = True
         self.line.give_up()
 
 
 def watch_wait_s(contact_s: float) -> float:
-    """Return for how long a watch may wait whose changes are bounded.
+    """Return how long a watch may wait if the delay of its changes is bounded.
 
-    :param contact_s: after a disturbance of its connections, a box is held to the bounds again
+    :param contact_s: time after a network disturbance when a box must meet the bounds again
     """
-    return max(WATCH_WAIT_LEAST_S, contact_s - TOLD_S)
+    return max(MIN_WATCH_WAIT_S, contact_s - PROPAGATION_S)
 
 
 def batch_window_s(drain_s: float) -> float:
-    """Return for how long changes of endpoints may be gathered.
+    """Return how long changes of endpoints may be batched.
 
-    :param drain_s: a leaving endpoint gets no new work after this many seconds
+    :param drain_s: time after which a leaving endpoint must get no new work
     """
-    return max(BATCH_WINDOW_S, GATHER_SHARE * drain_s)
+    return max(BATCH_WINDOW_S, BATCH_SHARE * drain_s)
 
 
 def _rounded(seconds: float | None) -> float | None:
--- a/src/threadramp/platform/store.py
+++ b/src/threadramp/platform/store.py
@@ -53,7 +53,7 @@
     )
 
 CALL_TIMEOUT_S = 1.2  # the slowest answers seen take 0.4
-RENEW_TIMEOUT_S = 0.8  # renewals find out what is silent; with their pause in less than AWAY_S
+RENEW_TIMEOUT_S = 0.8  # renewals find out what is silent; with their pause < UNREACHABLE_AFTER_S
 AGAIN_TIMEOUT_S = 0.6  # on a new connection; in an outage this puts off that it is known
 OLD_S = 0.5  # beyond the time in which a call is answered or given up, on a busy processor
 WATCH_MARGIN_S = 0.6  # for the answer to come back once the store's wait is over
--- a/tests/fleet/test_clock.py
+++ b/tests/fleet/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock that ages, leases and deadlines are measured with."""
+"""The clock used for ages, leases and deadlines."""
 
 from __future__ import annotations
 
@@ -26,5 +26,5 @@
     [path for path in SOURCES.rglob("*.py") if OF_TESTS not in path.parts],
     ids=lambda path: str(path.relative_to(SOURCES)),
 )
-def test_no_module_measures_with_the_clock_that_does_not(path):
+def test_no_module_uses_a_clock_that_stops_during_suspension(path):
     assert not re.search(r"\bmonotonic\(|perf_counter\(", path.read_text(encoding="utf-8"))
--- a/tests/fleet/test_crash_sharing.py
+++ b/tests/fleet/test_crash_sharing.py
@@ -1,4 +1,4 @@
-"""What one gateway saw of crashes reaches the others, also where a way is shut."""
+"""Crash records of one gateway reach the others, also where a connection is cut."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from threadramp.wire.fleet import Done, decode_ask
 
 ONE = b"one-request-0000"
-CONTACT_S = 3.0  # within which the users allow a refusal to be known
+CONTACT_S = 3.0  # time within which users require a refusal to be known everywhere
 
 
 class Peers:
-    """Passes messages between boxes that are not cut from each other."""
+    """Passes messages between boxes that can reach each other."""
 
     def __init__(self, name: str, boxes: dict[str, Box]) -> None:
         self.member = Member(name, "gateway", "1", name, "a", "")
@@ -44,7 +44,7 @@
 
 
 class Box:
-    """One gateway's book with what shares it; its watch is done by hand."""
+    """One gateway's crash records and their sharing; tests run its watch by hand."""
 
     def __init__(self, name: str, boxes: dict[str, Box], store: str, clock) -> None:
         self.cut = False
@@ -59,7 +59,7 @@
     def crash(self, *starts: int) -> None:
         for number in starts:
             self.book.crashed(ONE, Incarnation(f"i-{number}", 1), self.clock.time_of_day())
-        self.sharing.turn()
+        self.sharing.run_once()
 
     def watch(self) -> None:
         self.peers.fleet_view.members.replace(self.store.list(MEMBER_PREFIX), self.clock.now())
@@ -83,14 +83,14 @@
     assert {box.verdict for box in boxes.values()} == {Verdict.REFUSED}
 
 
-def test_nothing_is_written_for_a_crash_that_all_were_told_of(boxes, platform_store):
+def test_nothing_is_written_for_a_crash_that_all_peers_accepted(boxes, platform_store):
     boxes["g0"].crash(0)
     assert platform_store.counts["writes"] == 0
-    boxes["g0"].sharing.turn()
+    boxes["g0"].sharing.run_once()
     assert platform_store.counts["writes"] == 0
 
 
-def test_one_that_peers_can_not_reach_hears_of_it_through_the_store(boxes):
+def test_a_gateway_that_peers_cannot_reach_is_updated_through_the_store(boxes):
     boxes["g2"].cut = True
     for number, name in enumerate(("g0", "g1", "g0")):
         boxes[name].crash(number)
@@ -99,33 +99,33 @@
     assert boxes["g2"].verdict is Verdict.REFUSED
 
 
-def test_one_that_starts_later_refuses_at_once(boxes, store_address, clock):
+def test_a_gateway_that_starts_later_refuses_at_once(boxes, store_address, clock):
     boxes["g1"].crash(0, 1, 2)
     late = Box("g9", boxes, store_address, clock)
     late.watch()
     assert late.verdict is Verdict.REFUSED
-    assert late.peers.fleet_view.snapshot.members == {}  # what is kept there is no member
+    assert late.peers.fleet_view.snapshot.members == {}  # stored crash records are not members
 
 
-def test_a_box_that_starts_again_keeps_its_part(boxes, store_address, clock):
+def test_a_restarted_box_keeps_its_crash_records(boxes, store_address, clock):
     boxes["g0"].crash(0, 1, 2)
     again = Box("g0", boxes, store_address, clock)
     again.watch()
     again.book.crashed(b"another-request0", Incarnation("i-7", 1), clock.time_of_day())
     again.book.crashed(b"another-request0", Incarnation("i-8", 1), clock.time_of_day())
-    again.sharing.turn()
+    again.sharing.run_once()
     late = Box("g9", boxes, store_address, clock)
     late.watch()
     assert late.verdict is Verdict.REFUSED
 
 
-def test_what_the_store_does_not_take_is_written_once_it_does(boxes, platform_store):
+def test_records_that_the_store_did_not_accept_are_written_later(boxes, platform_store):
     platform_store.faults["outage"] = True
     boxes["g0"].crash(0, 1, 2)
-    assert boxes["g1"].verdict is Verdict.REFUSED  # told by its peer
+    assert boxes["g1"].verdict is Verdict.REFUSED  # sent by its peer
     assert boxes["g0"].sharing.pending
     platform_store.faults["outage"] = False
-    boxes["g0"].sharing.turn()
+    boxes["g0"].sharing.run_once()
     assert [key for key in platform_store.data if "crashes" in key] == ["member/.crashes/g0"]
 
 
@@ -137,7 +137,7 @@
     platform_store.faults_changed()
     assert platform_store.data == {}
     box.watch()
-    box.sharing.turn()
+    box.sharing.run_once()
     assert list(platform_store.data) == ["member/.crashes/g0"]
 
 
@@ -148,7 +148,7 @@
     assert [box.sharing.claim_trial(ONE, 2) for box in boxes.values()] == [False, False, False]
 
 
-NEAR_MISSES = [
+INVALID_RECORDS = [
     b"",
     b"\x00",
     encode(1),
@@ -161,8 +161,8 @@
 ]
 
 
-@pytest.mark.parametrize("value", NEAR_MISSES, ids=range(len(NEAR_MISSES)))
-def test_an_unreadable_or_absurd_part_changes_nothing(boxes, platform_store, value):
+@pytest.mark.parametrize("value", INVALID_RECORDS, ids=range(len(INVALID_RECORDS)))
+def test_unreadable_or_absurd_crash_records_change_nothing(boxes, platform_store, value):
     boxes["g0"].crash(0, 1, 2)
     row = {"key": "member/.crashes/other", "value": b64encode(value).decode()}
     platform_store._commit({"puts": [row]})
@@ -171,8 +171,8 @@
     assert boxes["g1"].book.ruling(b"another-request0", boxes["g1"].clock.time_of_day()) == FREE
 
 
-def test_it_is_known_everywhere_within_the_time_that_is_allowed(boxes):
-    """Threads as they run: told to peers some hundredths of a second after it was seen."""
+def test_a_refusal_is_known_everywhere_within_its_bound(boxes):
+    """With the threads running, peers are notified some hundredths of a second after a crash."""
     for box in boxes.values():
         box.sharing.start()
     started = time.monotonic()
--- a/tests/fleet/test_facts.py
+++ b/tests/fleet/test_facts.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told of its engine, and which sidecars a lot's gateway asks."""
+"""The facts sent to sidecars, and which sidecars a lot's gateway asks."""
 
 from __future__ import annotations
 
@@ -57,8 +57,8 @@
     assert len(asked(fleet(100, ("m",)), "m")) == 100
 
 
-def test_what_a_sidecar_is_told_takes_no_longer_in_a_large_fleet():
-    """Each question to a sidecar carries its facts; they were worked out from all endpoints."""
+def test_computing_facts_takes_no_longer_in_a_large_fleet():
+    """Every request to a sidecar carries its facts; computing them iterated over all endpoints."""
     snapshot = fleet(2_700)
     sidecars = snapshot.sidecars()
     facts_for(sidecars[0], snapshot)
--- a/tests/fleet/test_fenced_lock.py
+++ b/tests/fleet/test_fenced_lock.py
@@ -1,4 +1,4 @@
-"""A right that several boxes hold in turn: numbers that rise, and nobody acts in turns."""
+"""A lock that boxes hold one after another: tokens increase, and holders never alternate."""
 
 from __future__ import annotations
 
@@ -19,48 +19,49 @@
     return MemoryStore()
 
 
-def right(store, holder, clock, **how) -> FencedLock:
+def lock(store, holder, clock, **how) -> FencedLock:
     return FencedLock(store, KEY, holder, APART_S, clock, **how)
 
 
-def test_a_heir_uses_it_only_once_it_has_waited(store, clock):
-    first = right(store, "first", clock)
+def test_a_successor_uses_the_lock_only_after_the_takeover_delay(store, clock):
+    first = lock(store, "first", clock)
     number = first.cached_token()
     first.transfer_to("second")
     assert first.fencing_token == 0
-    second = right(store, "second", clock)
+    second = lock(store, "second", clock)
     assert second.cached_token() == 0
     clock.at += APART_S
     assert second.cached_token() > number
 
 
-def test_a_heir_waits_whatever_the_first_ones_time_of_day_says(store, clock):
-    first = right(store, "first", clock)
+def test_a_successor_waits_whatever_the_first_ones_time_of_day_is(store, clock):
+    first = lock(store, "first", clock)
     first.cached_token()
     first.transfer_to("second")
-    clock.time_of_day = lambda: 1_700_000_000.0 + clock.at + 2.0  # the heir's box is ahead
-    second = right(store, "second", clock)
+    # The clock of the successor's box is ahead.
+    clock.time_of_day = lambda: 1_700_000_000.0 + clock.at + 2.0
+    second = lock(store, "second", clock)
     second.cached_token()
     clock.at += APART_S - 0.1
     assert second.cached_token() == 0
 
 
-def test_what_was_given_up_to_nobody_is_taken_by_whoever_may(store, clock):
-    first = right(store, "first", clock)
+def test_a_released_lock_is_acquired_by_any_box_that_may(store, clock):
+    first = lock(store, "first", clock)
     number = first.cached_token()
     first.transfer_to("")
     assert decode_lock_record(store.items[KEY].value).holder == ""
     asked = []
-    second = right(store, "second", clock, may_take=lambda holder: not asked.append(holder))
+    second = lock(store, "second", clock, may_acquire=lambda holder: not asked.append(holder))
     second.cached_token()
     assert asked == [None, ""]
     clock.at += APART_S
     assert second.cached_token() > number
 
 
-def test_who_may_not_take_it_is_asked_again_later(store, clock):
-    right(store, "first", clock).cached_token()
-    second = right(store, "second", clock, may_take=lambda holder: holder is None)
+def test_a_box_that_may_not_acquire_the_lock_retries_later(store, clock):
+    lock(store, "first", clock).cached_token()
+    second = lock(store, "second", clock, may_acquire=lambda holder: holder is None)
     assert second.cached_token() == 0
     calls = store.calls
     assert second.cached_token() == 0
@@ -70,8 +71,8 @@
     assert store.calls > calls
 
 
-def test_a_proof_asks_the_store(store, clock):
-    first = right(store, "first", clock)
+def test_a_verification_asks_the_store(store, clock):
+    first = lock(store, "first", clock)
     number = first.cached_token()
     calls = store.calls
     assert first.cached_token() == number
@@ -80,8 +81,8 @@
     assert store.calls == calls + 1
 
 
-def test_one_whose_store_does_not_answer_proves_nothing(store, clock):
-    first = right(store, "first", clock)
+def test_without_an_answer_of_the_store_nothing_is_verified(store, clock):
+    first = lock(store, "first", clock)
     first.cached_token()
 
     store.away = True
@@ -100,15 +101,15 @@
 
 @settings(suppress_health_check=[HealthCheck.function_scoped_fixture], deadline=None)
 @given(steps)
-def test_numbers_rise_and_no_two_act_in_turns(clock, rows):
-    """Three boxes, restarts, lost answers, hand-overs: proven uses go by the rule."""
+def test_tokens_increase_and_holders_never_alternate(clock, rows):
+    """Three boxes with restarts, lost answers and transfers: verified uses keep the guarantees."""
     store = MemoryStore()
-    boxes = [right(store, f"box-{n}", clock) for n in range(3)]
+    boxes = [lock(store, f"box-{n}", clock) for n in range(3)]
     uses: list[tuple[float, int, int]] = []
     proven_at: dict[int, float] = {}
     for box, what, seconds in rows:
         if what == "use":
-            boxes[box].cached_token()  # what is known, may be old; nobody acts by it alone
+            boxes[box].cached_token()  # may be outdated; holders do not act on it alone
         elif what == "prove":
             number = boxes[box].verified_token()
             if number:
@@ -122,7 +123,7 @@
             except StoreError:
                 boxes[box].fencing_token = 0
         elif what == "restart":
-            boxes[box] = right(store, f"box-{box}", clock)
+            boxes[box] = lock(store, f"box-{box}", clock)
         elif what == "lose":
             store.loses = not store.loses
         clock.at += seconds
@@ -132,5 +133,5 @@
     for place, (at, box, _) in enumerate(uses):
         mine = [when for when, other, _ in uses[:place] if other == box]
         others = [when for when, other, _ in uses[:place] if other != box]
-        if mine and others and max(others) > max(mine):  # others acted since it did
+        if mine and others and max(others) > max(mine):  # other boxes acted since this one did
             assert at - max(mine) >= APART_S
--- a/tests/fleet/test_fleet_view.py
+++ b/tests/fleet/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""What a gateway makes of the store's items."""
+"""The snapshot that a gateway builds from the store's items."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return FleetView()
 
 
-def test_of_two_starts_at_one_address_the_newer_counts(fleet_view):
+def test_of_two_incarnations_at_one_address_the_newer_counts(fleet_view):
     items = (entry("i-old", "10.0.0.1:80", 3), entry("i-new", "10.0.0.1:80", 9))
     fleet_view.endpoints.replace(Listing(items, 9), 0.0)
     assert list(fleet_view.snapshot.endpoints) == ["i-new"]
@@ -47,7 +47,7 @@
     assert [one.name for one in fleet_view.snapshot.sidecars()] == ["s"]
 
 
-def test_the_newest_revision_of_any_named_version_is_kept(fleet_view):
+def test_the_newest_revision_of_any_published_version_is_kept(fleet_view):
     items = (
         Item("op/version/a", b'{"model":"a","version":5}', 100),
         Item("op/version/b", b'{"model":"b","version":3}', 110),
@@ -65,14 +65,14 @@
     assert fleet_view.is_complete
 
 
-def test_a_removal_that_is_doubted_is_told_once(fleet_view, monkeypatch):
-    told = []
+def test_a_deferred_removal_is_logged_once(fleet_view, monkeypatch):
+    logged = []
     monkeypatch.setattr(
-        fleet_view_module, "log_state", lambda what, **fields: told.append((what, fields))
+        fleet_view_module, "log_state", lambda what, **fields: logged.append((what, fields))
     )
     fleet_view.endpoints.replace(Listing((entry("i-1", "10.0.0.1:80", 4),), 4), 0.0)
-    fleet_view.endpoints.disturbed(12.5)
+    fleet_view.endpoints.distrust_removals(12.5)
     fleet_view.endpoints.apply(Changes((), (Removal("servers/i-1", 5),), 5), 10.0)
     fleet_view.endpoints.apply(Changes((entry("i-2", "10.0.0.2:80", 6),), (), 6), 10.5)
-    doubted = [fields for what, fields in told if what == "removal_doubted"]
-    assert doubted == [{"key": "servers/i-1", "until": 12.5}]
+    deferred = [fields for what, fields in logged if what == "removal_deferred"]
+    assert deferred == [{"key": "servers/i-1", "until": 12.5}]
--- a/tests/fleet/test_late_relays.py
+++ b/tests/fleet/test_late_relays.py
@@ -1,4 +1,4 @@
-"""Writes to the store through a peer that a cut holds up on their way to it."""
+"""Relayed writes to the store that a network cut delays on the way to the relay."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from threadramp.wire.packing import Packing
 from threadramp.wire.sync import SyncClient, SyncServer
 
-HELD_S = 0.5
-HANDLED_S = 0.5  # after which what was held has been handled
-PATIENCE_S = 5.0
+DELAY_S = 0.5
+HANDLED_S = 0.5  # time after which delayed messages have been handled
+REPLY_TIMEOUT_S = 5.0
 WRITE = Call(
     "POST", "/threadramp/kv-txn", transaction_body(Transaction({}, (Put("a", b"v"),))), 1.0, True
 )
@@ -32,7 +32,7 @@
 
 
 @pytest.fixture
-def way(relay):
+def proxy(relay):
     address = free_address()
     server = SyncServer(address, Packing(), relay.answer, 4, decode_ask)
     made = HoldingWay(address)
@@ -48,50 +48,52 @@
     made.close()
 
 
-def test_a_write_that_a_cut_holds_up_is_not_done_once_it_is_over(
-    way, client, clock, platform_store
+def test_a_write_that_a_cut_delays_is_not_applied_after_the_cut(
+    proxy, client, clock, platform_store
 ) -> None:
-    """It was done when its sender had long given it up, and others had gone on without it."""
+    """The write was applied long after its sender had given up, when others had moved on."""
     sent: list[CallStore] = []
 
     def send(address: str, ask: CallStore, timeout_s: float) -> object:
         sent.append(ask)
         if ask.mark:
-            way.hold()
-        return client.ask(address, ask, HELD_S)
+            proxy.hold()
+        return client.ask(address, ask, DELAY_S)
 
-    answer = relay_through([way.address], CallStore("g0", "g0:1", WRITE), send)
+    answer = relay_through([proxy.address], CallStore("g0", "g0:1", WRITE), send)
     assert answer is None
-    clock.at += RELAY_TIMEOUT_S + HELD_S
-    way.release()
+    clock.at += RELAY_TIMEOUT_S + DELAY_S
+    proxy.release()
     time.sleep(HANDLED_S)
     assert platform_store.data == {}
     assert len(sent) == 2
 
 
-def test_a_write_that_is_held_up_before_its_mark_is_given_is_not_done(
-    way, client, platform_store
+def test_a_write_that_is_delayed_before_its_token_is_issued_is_not_applied(
+    proxy, client, platform_store
 ) -> None:
-    client.ask(way.address, CallStore("g0", "g0:1", Call("GET", "/x", b"", 1.0, True)), PATIENCE_S)
-    way.hold()
+    client.ask(
+        proxy.address, CallStore("g0", "g0:1", Call("GET", "/x", b"", 1.0, True)), REPLY_TIMEOUT_S
+    )
+    proxy.hold()
     answer = relay_through(
-        [way.address],
+        [proxy.address],
         CallStore("g0", "g0:1", WRITE),
-        lambda address, ask, timeout_s: client.ask(address, ask, HELD_S),
+        lambda address, ask, timeout_s: client.ask(address, ask, DELAY_S),
     )
     assert answer is None
-    way.release()
+    proxy.release()
     time.sleep(HANDLED_S)
     assert platform_store.data == {}
 
 
-def test_a_write_is_passed_on(way, client, platform_store) -> None:
-    answer = relay_through([way.address], CallStore("g0", "g0:1", WRITE), client.ask)
+def test_a_write_is_passed_on(proxy, client, platform_store) -> None:
+    answer = relay_through([proxy.address], CallStore("g0", "g0:1", WRITE), client.ask)
     assert answer.status == 200
     assert list(platform_store.data) == ["a"]
 
 
-def test_a_mark_holds_for_one_write(relay) -> None:
+def test_a_token_is_valid_for_one_write(relay) -> None:
     first = relay.answer(CallStore("g0", "g0:1", WRITE, ""))
     assert first.answer is None
     marked = CallStore("g0", "g0:1", WRITE, first.mark)
@@ -101,14 +103,14 @@
     assert again.mark not in ("", first.mark)
 
 
-def test_marks_that_nobody_used_are_forgotten(relay, clock) -> None:
+def test_unused_tokens_expire(relay, clock) -> None:
     for _ in range(3):
         relay.answer(CallStore("g0", "g0:1", WRITE, ""))
         clock.at += RELAY_TIMEOUT_S + 1.0
-    assert len(relay.marks) == 1
+    assert len(relay.tokens) == 1
 
 
-def test_what_a_process_of_an_earlier_release_asks_for_is_done_at_once(relay) -> None:
+def test_a_write_of_an_earlier_release_needs_no_token(relay) -> None:
     assert relay.answer(CallStore("g0", "g0:1", WRITE)).answer.status == 200
 
 
--- a/tests/fleet/test_mirror.py
+++ b/tests/fleet/test_mirror.py
@@ -1,4 +1,4 @@
-"""What is believed of one prefix of the store."""
+"""The mirror of one prefix of the store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def mirror() -> Mirror:
-    return Mirror("servers/", holds_lapsed=True)
+    return Mirror("servers/", retains_expired=True)
 
 
 def test_changes_follow_a_listing(mirror):
@@ -36,15 +36,15 @@
     assert mirror.snapshot()["a"].value == b"v"
 
 
-def test_an_entry_that_goes_in_calm_times_is_gone_at_once(mirror):
+def test_an_entry_removed_without_an_outage_is_dropped_at_once(mirror):
     mirror.replace(listing(5, "a"), 0.0)
     mirror.apply(Changes((), (Removal("a", 6),), 6), 10.0)
     assert mirror.snapshot() == {}
 
 
-def test_an_entry_that_lapsed_in_an_outage_is_believed_until_a_while_after_its_end(mirror):
+def test_an_entry_that_expired_in_an_outage_is_retained_for_a_while_after_it(mirror):
     mirror.replace(listing(5, "a", "b"), 0.0)
-    mirror.disturbed(12.5)
+    mirror.distrust_removals(12.5)
     mirror.replace(listing(9, "b"), 10.0)
     assert sorted(mirror.snapshot()) == ["a", "b"]
     mirror.expire(12.4)
@@ -55,32 +55,32 @@
 
 def test_an_entry_that_is_back_in_time_stays(mirror):
     mirror.replace(listing(5, "a"), 0.0)
-    mirror.disturbed(12.5)
+    mirror.distrust_removals(12.5)
     mirror.apply(Changes((), (Removal("a", 6),), 6), 10.0)
     mirror.apply(Changes((Item("a", b"v", 7),), (), 7), 11.0)
     mirror.expire(99.0)
     assert list(mirror.snapshot()) == ["a"]
 
 
-def test_a_peer_gets_no_doubtful_entries(mirror):
+def test_a_peer_gets_no_retained_entries(mirror):
     mirror.replace(listing(5, "a", "b"), 0.0)
-    mirror.disturbed(12.5)
+    mirror.distrust_removals(12.5)
     mirror.apply(Changes((), (Removal("a", 6),), 6), 10.0)
     assert [item.key for item in mirror.copy().items] == ["b"]
 
 
-def test_the_operators_documents_are_never_held():
-    mirror = Mirror("op/", holds_lapsed=False)
+def test_the_operators_documents_are_never_retained():
+    mirror = Mirror("op/", retains_expired=False)
     mirror.replace(listing(5, "a"), 0.0)
-    mirror.disturbed(12.5)
+    mirror.distrust_removals(12.5)
     mirror.replace(listing(6), 10.0)
     assert mirror.snapshot() == {}
 
 
 def test_listeners_hear_of_changes_only(mirror):
-    heard = []
-    mirror.listeners.append(lambda: heard.append(mirror.revision))
+    notified = []
+    mirror.listeners.append(lambda: notified.append(mirror.revision))
     mirror.replace(listing(5, "a"), 0.0)
     mirror.apply(Changes((), (), 8), 0.0)
     mirror.apply(Changes((Item("b", b"", 9),), (), 9), 0.0)
-    assert heard == [5, 9]
+    assert notified == [5, 9]
--- a/tests/fleet/test_mirror_sync.py
+++ b/tests/fleet/test_mirror_sync.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of the store, in any order and with losses."""
+"""Exchange of store contents between gateways, with reordering and losses."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert follower.fleet_view.operator.revision == 7
 
 
-def test_changes_that_came_before_are_passed_over(clock):
+def test_changes_that_are_already_applied_are_skipped(clock):
     follower = sharing(clock)
     follower.apply_changes(changes(3, 5, removals=[Removal("op/x", 5)]))
     assert "op/x" in follower.fleet_view.operator.snapshot()
@@ -47,11 +47,11 @@
     watcher.fleet_view.operator.apply(
         Changes((Item("op/y", b"2", 8),), (Removal("op/x", 6),), 8), 0.0
     )
-    follower.take_over(watcher.copy_for(MirrorBeat("f", "f:1", follower.revisions())))
+    follower.apply_copy(watcher.copy_for(MirrorBeat("f", "f:1", follower.revisions())))
     assert sorted(follower.fleet_view.operator.snapshot()) == ["op/y"]
 
 
-def test_who_has_not_listed_takes_no_changes(clock):
+def test_a_gateway_that_has_not_listed_applies_no_changes(clock):
     follower = sharing(clock, listed=False)
     follower.apply_changes(changes(0, 7, Item("op/y", b"2", 7)))
     assert not follower.fleet_view.operator.is_loaded
@@ -64,13 +64,13 @@
     watcher.health.record_answer(clock.now())
     clock.at += 0.3
     assert watcher.copy_for(beat).confirmed_ago_s == pytest.approx(0.3)
-    watcher.health.record_failure(clock.now(), ValueError("away"))
+    watcher.health.record_failure(clock.now(), ValueError("unreachable"))
     assert watcher.copy_for(beat).confirmed_ago_s is None
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_lost_and_late_changes_never_lead_to_another_picture(clock, seed):
-    """Whatever is lost or crossed, a follower holds what the watcher held at that revision."""
+def test_lost_and_late_changes_never_lead_to_other_content(clock, seed):
+    """Despite losses and reordering, a follower has the watcher's content of its revision."""
     rng = random.Random(seed)
     watcher, follower = sharing(clock), sharing(clock)
     held = {5: {"op/x": b"1"}}
@@ -95,6 +95,6 @@
         while on_the_way and rng.random() < 0.6:
             follower.apply_changes(on_the_way.pop())
         if rng.random() < 0.2:
-            follower.take_over(watcher.copy_for(MirrorBeat("f", "f:1", follower.revisions())))
+            follower.apply_copy(watcher.copy_for(MirrorBeat("f", "f:1", follower.revisions())))
         mirror = follower.fleet_view.operator
         assert {key: item.value for key, item in mirror.snapshot().items()} == held[mirror.revision]
--- a/tests/fleet/test_organisations.py
+++ b/tests/fleet/test_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations and their keys, from version to version."""
+"""Organisations and their keys, across configuration versions."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
     assert organisations.faults == ()
 
 
-def test_a_key_at_two_organisations_is_nobodys():
+def test_a_key_of_two_organisations_belongs_to_neither():
     organisations = Organisations.from_rows([row("a", "k1", "k2"), row("b", "k2", "k3")])
     assert holders(organisations, ("k1", "k2", "k3")) == {"k1": "a", "k2": None, "k3": "b"}
     assert any("a holds a key" in fault for fault in organisations.faults)
 
 
-def test_a_name_that_stands_twice_is_nobodys():
-    """Whichever row were meant, the other one's callers would pass for somebody else."""
+def test_keys_of_a_name_declared_twice_belong_to_nobody():
+    """Whichever row was used, the other row's callers would be taken for another organisation."""
     organisations = Organisations.from_rows([row("a", "k1"), row("a", "k2"), row("b", "k3")])
     assert holders(organisations, ("k1", "k2", "k3")) == {"k1": None, "k2": None, "k3": "b"}
-    assert organisations.faults == ("a stands twice",)
+    assert organisations.faults == ("a is declared more than once",)
 
 
-def test_the_same_row_twice_is_a_name_that_stands_twice():
+def test_the_same_row_twice_is_a_name_declared_twice():
     organisations = Organisations.from_rows([row("a", "k1"), row("a", "k1")])
     assert holders(organisations, ("k1",)) == {"k1": None}
 
@@ -71,7 +71,7 @@
 
 
 @given(st.lists(tables, min_size=1, max_size=5))
-def test_what_is_taken_over_is_what_would_be_read_anew(versions):
+def test_an_incremental_update_equals_a_full_rebuild(versions):
     organisations = None
     for table in versions:
         rows = [row(name, *keys) for name, keys in table]
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of its peers."""
+"""What a gateway knows of its peers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import pytest
 
 from threadramp.fleet.fleet_view import FleetView, Member
-from threadramp.fleet.peers import GATEWAY_REMEMBERED_S, Peers
+from threadramp.fleet.peers import GATEWAY_RETENTION_S, Peers
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.fleet.unresponsive_gateways import MAX_MISSED_BEATS
 from threadramp.platform.store_model import Item, Listing
@@ -20,7 +20,7 @@
 
 
 class Client:
-    """Answers for the peers that are up."""
+    """Answers on behalf of the peers that are up."""
 
     def __init__(self) -> None:
         self.down: set[str] = set()
@@ -50,41 +50,41 @@
     return sorted(one.name for one in members)
 
 
-def test_a_gateway_that_does_not_answer_counts_as_gone_though_it_is_listed(peers, clock):
+def test_a_gateway_that_does_not_answer_counts_as_failed_though_it_is_listed(peers, clock):
     peers.client.down.add("g1:1")
     for _ in range(MAX_MISSED_BEATS):
         assert names(peers.live_gateways()) == ["g0", "g1", "g2"]
         clock.at += 0.5
-        peers._beat_gateways()
+        peers._exchange_with_gateways()
     assert names(peers.live_gateways()) == ["g0", "g2"]
     peers.client.down.clear()
-    peers._beat_gateways()
+    peers._exchange_with_gateways()
     assert names(peers.live_gateways()) == ["g0", "g1", "g2"]
 
 
-def test_its_next_process_is_not_silent(peers, clock):
+def test_its_next_process_is_not_unresponsive(peers, clock):
     peers.client.down.add("g1:1")
     for _ in range(MAX_MISSED_BEATS):
-        peers._beat_gateways()
+        peers._exchange_with_gateways()
     list_members(peers, [member("g0"), member("g1", incarnation="2"), member("g2")], 2)
     assert names(peers.live_gateways()) == ["g0", "g1", "g2"]
 
 
-def test_a_gateway_that_lost_its_place_is_known_for_a_while(peers, clock):
-    """It may run lots whose end others write, and lists itself again only 2 s later."""
+def test_a_gateway_dropped_from_the_list_is_known_for_a_while(peers, clock):
+    """It may run lots whose end others write, and registers again only 2 s later."""
     list_members(peers, [member("g0"), member("g2")], 2)
-    clock.at += GATEWAY_REMEMBERED_S - 0.1
+    clock.at += GATEWAY_RETENTION_S - 0.1
     assert names(peers.recent_gateways()) == ["g1", "g2"]
     clock.at += 0.2
     assert names(peers.recent_gateways()) == ["g2"]
 
 
-def test_a_gateway_that_is_listed_is_known_however_long_nothing_was_heard_of_it(peers, clock):
-    clock.at += 10 * GATEWAY_REMEMBERED_S
+def test_a_listed_gateway_is_known_however_old_its_last_reply_is(peers, clock):
+    clock.at += 10 * GATEWAY_RETENTION_S
     assert names(peers.recent_gateways()) == ["g1", "g2"]
 
 
-def test_a_sidecar_that_lost_its_place_is_asked_on_while_it_answers(peers, clock):
+def test_a_sidecar_dropped_from_the_list_is_used_while_it_answers(peers, clock):
     assert names(peers.sidecars()) == ["s1"]
     list_members(peers, [member("g0")], 2)
     for _ in range(20):
@@ -96,7 +96,7 @@
     assert peers.sidecars() == []
 
 
-def test_a_gateway_behind_gets_what_it_has_not_seen(peers):
+def test_a_gateway_that_lags_behind_gets_a_copy(peers):
     copy = peers.mirror_sync.copy_for(MirrorBeat("g1", "g1:1", {"member/": 0}))
     assert [item.key for item in copy.items["member/"]] == [
         "member/g0",
@@ -118,8 +118,8 @@
     assert len(noticed) == 1
 
 
-def test_calls_to_the_store_go_through_gateways_and_sidecars_in_turn(peers, clock):
-    """All gateways were cut from the store while sidecars were not: DRAIN broken."""
+def test_calls_to_the_store_alternate_between_gateways_and_sidecars(peers, clock):
+    """All gateways were disconnected from the store, sidecars were not; the drain bound broke."""
     list_members(
         peers,
         [
@@ -136,6 +136,6 @@
     assert peers.relay_addresses() == ["g1:1", "s2:1", "g2:1", "s1:1"]
 
 
-def test_without_other_gateways_sidecars_are_ways(peers):
+def test_without_other_gateways_sidecars_relay(peers):
     list_members(peers, [member("g0"), member("s1", "sidecar")], 2)
     assert peers.relay_addresses() == ["s1:1"]
--- a/tests/fleet/test_relaying.py
+++ b/tests/fleet/test_relaying.py
@@ -1,8 +1,8 @@
-"""Calls to the store through other gateways."""
+"""Calls to the store that are relayed by other gateways."""
 
 from __future__ import annotations
 
-from threadramp.fleet.relaying import RELAY_TRIES, relay_through
+from threadramp.fleet.relaying import MAX_RELAY_ATTEMPTS, relay_through
 from threadramp.platform.store_model import Call, RawAnswer
 from threadramp.wire.fleet import CallStore, StoreAnswered
 
@@ -20,15 +20,15 @@
     return relay_through(list(replies), ASK, send), asked
 
 
-def test_the_next_is_asked_past_those_without_a_way_and_those_that_are_silent():
+def test_peers_that_cannot_reach_the_store_or_do_not_answer_are_skipped():
     answer, asked = relay({"a": StoreAnswered(None), "b": None, "c": StoreAnswered(ANSWER)})
     assert (answer, asked) == (ANSWER, ["a", "b", "c"])
 
 
-def test_nobody_is_asked_after_an_answer():
+def test_no_peer_is_asked_after_an_answer():
     assert relay({"a": StoreAnswered(ANSWER), "b": None})[1] == ["a"]
 
 
-def test_it_ends_after_a_few():
+def test_a_relay_ends_after_a_few_attempts():
     answer, asked = relay({f"g{n}": StoreAnswered(None) for n in range(9)})
-    assert (answer, len(asked)) == (None, RELAY_TRIES)
+    assert (answer, len(asked)) == (None, MAX_RELAY_ATTEMPTS)
--- a/tests/fleet/test_silent_watch.py
+++ b/tests/fleet/test_silent_watch.py
@@ -1,11 +1,10 @@
-"""A watch that hangs on a connection which passes nothing any more.
-
-Seen: requests reached endpoints more than 2 s after the store had taken that they leave. How it
-came about: open connections may go silent without a reset, while new ones work. The watch then
-waits for an answer that cannot come, up to 11 s, and what it would have brought is not known here.
-Cause, one half: when the store answers again the watch was to be given up, but closing the
-library's pool closes only connections that rest in it, not the one that a call waits on. Proof:
-without the mend the second watch begins when the first has timed out.
+"""A watch that hangs on a dead connection.
+
+Guards against requests that reach endpoints more than 2 s after the store accepted that these
+leave. Open connections may go dead without a reset while new ones work; a watch then waits up to
+11 s for an answer that cannot come. When the store answers again, the watch must be abandoned, but
+closing the library's connection pool closes only idle connections, not the one in use. Without the
+fix, the second watch starts only when the first has timed out.
 """
 
 from __future__ import annotations
@@ -27,23 +26,23 @@
 
 
 @pytest.fixture
-def way(store_address):
+def proxy(store_address):
     made = Way(store_address)
     yield made
     made.close()
 
 
 def test_a_watch_that_hangs_since_before_an_outage_is_given_up_when_the_store_answers(
-    way, platform_store
+    proxy, platform_store
 ):
     clock = Clock()
     health = StoreHealth(clock)
-    mirror = Mirror("servers/", holds_lapsed=True)
-    watcher = Watcher(mirror, StoreClient(way.address), health, clock, batches=False)
+    mirror = Mirror("servers/", retains_expired=True)
+    watcher = Watcher(mirror, StoreClient(proxy.address), health, clock, batches=False)
     watcher.start()
-    wait_for(lambda: platform_store.counts["watches"] == 1, "it watches")
-    way.silence()
-    health.record_failure(clock.now(), StoreUnknownError("away"))
+    wait_for(lambda: platform_store.counts["watches"] == 1, "the watch was sent")
+    proxy.silence()
+    health.record_failure(clock.now(), StoreUnknownError("unreachable"))
     health.record_answer(clock.now())
     time.sleep(AT_ONCE_S)
     watcher.stopped.set()
--- a/tests/fleet/test_watcher.py
+++ b/tests/fleet/test_watcher.py
@@ -1,4 +1,4 @@
-"""What a watch makes of cuts and outages."""
+"""How a watcher handles failed watches and outages."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 import pytest
 
 from threadramp.fleet import watcher as watcher_module
-from threadramp.fleet.mirror import LAPSE_HOLD_S, Mirror
-from threadramp.fleet.store_health import AWAY_S, StoreHealth
-from threadramp.fleet.watcher import TOLD_S, Watcher, watch_wait_s
+from threadramp.fleet.mirror import RETENTION_S, Mirror
+from threadramp.fleet.store_health import UNREACHABLE_AFTER_S, StoreHealth
+from threadramp.fleet.watcher import PROPAGATION_S, Watcher, watch_wait_s
 from threadramp.platform.store_model import (
     Changes,
     GivenUpError,
@@ -27,7 +27,7 @@
 
 
 class Store:
-    """Answers watches with what a test has laid ready."""
+    """Answers watches with the prepared answers of a test."""
 
     def __init__(self) -> None:
         self.answers: list[object] = []
@@ -36,7 +36,7 @@
         self.given_up = 0
 
     def watch_line(self):
-        return self  # it can be given up, and no more is asked of it
+        return self  # only ``give_up`` is called on it
 
     def give_up(self):
         self.given_up += 1
@@ -45,8 +45,8 @@
         self.given_up += 1
 
     def went_silent(self):
-        for tell in self.on_silence:
-            tell()
+        for notify in self.on_silence:
+            notify()
 
     def list(self, prefix):
         return self.listing
@@ -67,27 +67,27 @@
 
 @pytest.fixture
 def watcher(clock, health) -> Watcher:
-    made = Watcher(Mirror("servers/", holds_lapsed=True), Store(), health, clock, batches=False)
-    made.stopped.wait = lambda seconds: None  # pauses take no time here
+    made = Watcher(Mirror("servers/", retains_expired=True), Store(), health, clock, batches=False)
+    made.stopped.wait = lambda seconds: None  # skip pauses
     return made
 
 
 def turn(watcher: Watcher, *answers: object) -> None:
-    """Let it take some answers, failures among them."""
+    """Let the watcher process some answers, which may be failures."""
     watcher.store.answers = list(answers)
     for _ in answers:
-        watcher.one_turn()
+        watcher.run_once()
 
 
-def test_a_cut_watch_alone_makes_no_removal_doubtful(watcher, clock):
-    """An endpoint whose entry went was believed for 2.5 s more, though the store was never away."""
+def test_a_failed_watch_alone_defers_no_removal(watcher, clock):
+    """A removed endpoint was retained for 2.5 s although the store was never unreachable."""
     turn(watcher, StoreUnknownError("cut"))
     clock.at += 0.1
     turn(watcher, Changes((), (Removal("servers/a", 6),), 6))
     assert watcher.mirror.snapshot() == {}
 
 
-def test_a_removal_right_after_an_outage_is_doubted_for_a_while(watcher, health, clock):
+def test_a_removal_right_after_an_outage_is_deferred_for_a_while(watcher, health, clock):
     health.record_failure(clock.now(), StoreUnknownError("down"))
     turn(watcher, StoreUnknownError("cut"))
     clock.at += 4.0
@@ -95,22 +95,22 @@
     watcher.store.listing = Listing((), 7)
     turn(watcher, Changes((), (), 7))
     assert list(watcher.mirror.snapshot()) == ["servers/a"]
-    clock.at += LAPSE_HOLD_S
+    clock.at += RETENTION_S
     watcher.mirror.expire(clock.now())
     assert watcher.mirror.snapshot() == {}
 
 
-def test_a_store_that_was_not_heard_for_a_while_counts_as_away(watcher, clock):
-    """The first failed renewal may come later than the first cut watch."""
+def test_a_store_without_answers_for_a_while_counts_as_unreachable(watcher, clock):
+    """The first failed renewal may come later than the first failed watch."""
     turn(watcher, StoreUnknownError("cut"))
-    clock.at += AWAY_S + 0.1
+    clock.at += UNREACHABLE_AFTER_S + 0.1
     turn(watcher, StoreUnknownError("cut"))
     watcher.store.listing = Listing((), 7)
     turn(watcher, Changes((), (), 7))
     assert list(watcher.mirror.snapshot()) == ["servers/a"]
 
 
-def test_history_that_is_gone_is_listed_anew(watcher):
+def test_a_compacted_history_causes_a_new_listing(watcher):
     turn(watcher, HistoryGone())
     watcher.store.listing = Listing((ENTRY, Item("servers/b", b"v", 8)), 8)
     turn(watcher, Changes((), (), 8))
@@ -120,29 +120,29 @@
 def test_one_that_follows_lists_again_when_it_watches(watcher, clock):
     turn(watcher, Changes((), (), 5))
     watcher.follows = lambda: True
-    watcher.one_turn()
+    watcher.run_once()
     watcher.follows = lambda: False
     watcher.store.listing = Listing((), 9)
     turn(watcher, Changes((), (), 9))
     assert watcher.mirror.snapshot() == {}
 
 
-def test_what_it_sees_is_told_to_those_that_follow(watcher):
-    told = []
-    watcher.push_changes = lambda prefix, after, changes: told.append(
+def test_changes_are_pushed_to_followers(watcher):
+    pushed = []
+    watcher.push_changes = lambda prefix, after, changes: pushed.append(
         (prefix, after, changes.revision)
     )
     turn(watcher, Changes((Item("servers/b", b"v", 6),), (), 6), Changes((), (), 9))
-    assert told == [("servers/", 5, 6), ("servers/", 6, 9)]
+    assert pushed == [("servers/", 5, 6), ("servers/", 6, 9)]
 
 
-def test_a_cut_watch_tells_how_long_it_waited_and_when_the_store_last_answered(
+def test_a_failed_watch_logs_how_long_it_waited_and_when_the_store_last_answered(
     watcher, health, clock, monkeypatch
 ):
-    """That tells a silent connection from a store that was away."""
-    told = []
+    """This distinguishes a dead connection from an unreachable store."""
+    logged = []
     monkeypatch.setattr(
-        watcher_module, "log_state", lambda what, **fields: told.append((what, fields))
+        watcher_module, "log_state", lambda what, **fields: logged.append((what, fields))
     )
     turn(watcher, Changes((), (), 5))
     asked_at = clock.now()
@@ -153,26 +153,26 @@
         raise StoreUnknownError("no answer")
 
     watcher.store.watch = cut
-    watcher.one_turn()
-    what, fields = told[-1]
-    assert what == "watch_cut"
+    watcher.run_once()
+    what, fields = logged[-1]
+    assert what == "watch_failed"
     assert (fields["waited_s"], fields["confirmed_ago_s"]) == (clock.now() - asked_at, 0.3)
 
 
 def stay_out(watcher: Watcher, clock) -> None:
-    """Let its watch bring no answer until its time is over."""
+    """Let its watch time out without an answer."""
 
-    def silent(prefix, after, wait_s, line):
+    def hang(prefix, after, wait_s, line):
         clock.at += wait_s + 0.6
         raise StoreUnknownError("timed out")
 
-    answering, watcher.store.watch = watcher.store.watch, silent
-    watcher.one_turn()
+    answering, watcher.store.watch = watcher.store.watch, hang
+    watcher.run_once()
     watcher.store.watch = answering
 
 
-def test_a_watch_that_stays_out_makes_all_open_connections_suspect(watcher, health, clock):
-    """Those of the other watches are as old, and theirs would stay out for as long again."""
+def test_a_watch_that_times_out_makes_all_open_connections_suspect(watcher, health, clock):
+    """The other watches' connections are as old, and would take as long to time out."""
     other = Watcher(watcher.mirror, watcher.store, health, clock, batches=False)
     turn(watcher, Changes((), (), 5))
     other.stale = False
@@ -186,17 +186,17 @@
     pauses = []
     watcher.stopped.wait = pauses.append
     turn(watcher, GivenUpError("given up"))
-    watcher.stale = True  # whoever gives it up says so
+    watcher.stale = True  # set by whoever gives it up
     watcher.store.listing = Listing((ENTRY, Item("servers/b", b"v", 8)), 8)
     turn(watcher, Changes((), (), 8))
     assert sorted(watcher.mirror.snapshot()) == ["servers/a", "servers/b"]
     assert pauses == []
 
 
-def test_removals_are_believed_where_only_connections_were_silent(watcher, health, clock):
-    """A renewal on a silent connection takes 1.6 s to be answered on a new one."""
+def test_removals_are_applied_if_only_connections_were_dead(watcher, health, clock):
+    """A renewal on a dead connection takes 1.6 s until it is answered on a new one."""
     turn(watcher, Changes((), (), 5))
-    clock.at += AWAY_S - 0.3
+    clock.at += UNREACHABLE_AFTER_S - 0.3
     watcher.store.listing = Listing((), 7)
     turn(watcher, StoreUnknownError("timed out"), Changes((), (), 7))
     health.record_answer(clock.now())
@@ -209,37 +209,37 @@
     pauses = []
     watcher.stopped.wait = pauses.append
 
-    def away(prefix):
-        raise StoreUnknownError("away")
+    def fail(prefix):
+        raise StoreUnknownError("unreachable")
 
-    watcher.store.list = away
+    watcher.store.list = fail
     for _ in range(3):
-        watcher.one_turn()
+        watcher.run_once()
     assert len(pauses) == 3
 
 
-def test_what_a_listing_shows_is_told_to_those_that_follow(watcher):
-    told = []
+def test_differences_of_a_listing_are_pushed_to_followers(watcher):
+    pushed = []
     turn(watcher, Changes((), (), 5))
-    watcher.push_changes = lambda prefix, after, changes: told.append((after, changes))
+    watcher.push_changes = lambda prefix, after, changes: pushed.append((after, changes))
     turn(watcher, StoreUnknownError("cut"))
     watcher.store.listing = Listing((Item("servers/b", b"v", 8),), 9)
     turn(watcher, Changes((), (), 9))
-    after, changes = told[0]
+    after, changes = pushed[0]
     assert after == 5
     assert [item.key for item in changes.items] == ["servers/b"]
     assert changes.removals == (Removal("servers/a", 9),)
 
 
-def test_a_wait_leaves_time_for_sidecars_to_be_told(watcher):
-    assert watch_wait_s(3.0) == pytest.approx(3.0 - TOLD_S)
+def test_a_wait_leaves_time_to_notify_sidecars(watcher):
+    assert watch_wait_s(3.0) == pytest.approx(3.0 - PROPAGATION_S)
     assert watch_wait_s(0.5) > 0
 
 
 class LateStore(Store):
-    """Answers a watch after a while.
+    """Answers a watch after a delay.
 
-    :param took_s: from the question until the answer is read here
+    :param took_s: time from the request until the answer is read here
     """
 
     def __init__(self, clock, took_s: float) -> None:
@@ -265,30 +265,30 @@
 def test_an_answer_that_is_read_late_does_not_make_the_mirror_newer(
     clock, health, changes, took_s, shown_after_s
 ) -> None:
-    """Keys were accepted beyond their bound by as long as the answer had lain in a buffer."""
+    """Keys were accepted beyond their bound for as long as the answer had been buffered."""
     store = LateStore(clock, took_s)
     store.answers = [changes]
-    mirror = Mirror("servers/", holds_lapsed=True)
+    mirror = Mirror("servers/", retains_expired=True)
     watcher = Watcher(mirror, store, health, clock, batches=False, wait_s=2.0)
     asked_at = clock.now()
-    watcher.one_turn()
+    watcher.run_once()
     assert mirror.current_at == asked_at + shown_after_s
 
 
-@pytest.mark.parametrize(("served", "believed"), [(True, False), (False, True)])
-def test_a_removal_is_doubted_only_if_the_store_served_no_gateway(
-    clock, health, served, believed
+@pytest.mark.parametrize(("served", "retained"), [(True, False), (False, True)])
+def test_a_removal_is_deferred_only_if_the_store_served_no_gateway(
+    clock, health, served, retained
 ) -> None:
-    """A gateway that was turned away alone sent requests to an endpoint that had gone."""
+    """The only gateway that the store refused sent requests to an endpoint that had left."""
     store = Store()
     store.answers = [StoreUnknownError("cut"), Changes((), (Removal(ENTRY.key, 6),), 6)]
-    mirror = Mirror("servers/", holds_lapsed=True)
+    mirror = Mirror("servers/", retains_expired=True)
     watcher = Watcher(
         mirror, store, health, clock, batches=False, peer_reaches_store=lambda: served
     )
-    watcher.stopped.set()  # no pause after the cut
-    health.record_failure(clock.now(), StoreUnknownError("turned away"))
-    watcher.one_turn()
+    watcher.stopped.set()  # no pause after the failure
+    health.record_failure(clock.now(), StoreUnknownError("refused"))
+    watcher.run_once()
     health.record_answer(clock.now())
-    watcher.one_turn()
-    assert (ENTRY.key in mirror.snapshot()) is believed
+    watcher.run_once()
+    assert (ENTRY.key in mirror.snapshot()) is retained
--- a/tests/serve/test_lots.py
+++ b/tests/serve/test_lots.py
@@ -163,7 +163,7 @@
     )
     fleet.remove("member/front-0")
     wait_for(
-        lambda: any(row["member"] == "front-0" for row in second.lines("member_gone")),
+        lambda: any(row["member"] == "front-0" for row in second.lines("member_removed")),
         "second lists the first no more",
     )
     assert second.call("DELETE", "/threadramp/lots/lot1").status == 200
--- a/tests/serve/test_organisations.py
+++ b/tests/serve/test_organisations.py
@@ -168,7 +168,7 @@
     ask(first, "l2", bearer("unknown-key-012345"))
     guarded.hand_in(first, "lot4", key=ACME)
     guarded.configure(version=7, organisations={"acme": (ACME, RIVAL), "rival": (RIVAL, "bad key")})
-    wait_for(lambda: first.lines("organisations_faulty"), "the fault is logged")
+    wait_for(lambda: first.lines("organisations_invalid"), "the fault is logged")
     text = "".join(box.log.read_text(encoding="utf-8") for box in guarded.boxes) + first.metrics()
     assert not any(key in text for key in (ACME, SECOND, RIVAL, "unknown-key", "bad key"))
     assert "caller_unknown" in text
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -253,7 +253,7 @@
         "crashes kept in the store",
         "gateway_that_started_later",
         CRASH_SHARING,
-        "            self._keep(wanted)",
+        "            self._persist(to_persist)",
         "            pass",
     ),
     Removal.of_one(
@@ -349,8 +349,8 @@
         "the wait of the next holder",
         "another_holder_has_a_higher_number_and_waits",
         RIGHTS,
-        "first_use_at = self.clock.now() + self.takeover_delay_s",
-        "first_use_at = 0.0",
+        "usable_from = self.clock.now() + self.takeover_delay_s",
+        "usable_from = 0.0",
     ),
     Removal(
         "the store's word for each order",
