--- a/src/threadramp/policy/endpoint_choice.py
+++ b/src/threadramp/policy/endpoint_choice.py
@@ -10,7 +10,7 @@
     from collections.abc import Collection, Sequence
     from random import Random
 
-    from threadramp.fleet.model import Endpoint, Route, Start
+    from threadramp.fleet.model import Endpoint, Incarnation, Route
     from threadramp.platform.headers import EndpointLoad
 
 SUSPEND_S = 0.5  # after a failure; doubles with each further failure
@@ -45,7 +45,7 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.records: dict[Start, EndpointRecord] = {}
+        self.records: dict[Incarnation, EndpointRecord] = {}
         self.lock = threading.Lock()
 
     def choose_pool(self, route: Route) -> str:
@@ -57,10 +57,10 @@
         return self.random.choices(shares, weights)[0].pool if any(weights) else shares[0].pool
 
     def choose(
-        self, endpoints: Sequence[Endpoint], tried: Collection[Start], now: float
+        self, endpoints: Sequence[Endpoint], tried: Collection[Incarnation], now: float
     ) -> Endpoint | None:
         """Return an endpoint that was not tried yet, none if all were tried."""
-        untried = [one for one in endpoints if not one.leaving and one.start not in tried]
+        untried = [one for one in endpoints if not one.leaving and one.incarnation not in tried]
         if not untried:
             return None
         with self.lock:
@@ -112,7 +112,7 @@
             errors = record.errors
         return self.record_failure(endpoint, now) if errors >= ERRORS_UNTIL_SUSPEND else 0.0
 
-    def retain(self, incarnations: Collection[Start]) -> None:
+    def retain(self, incarnations: Collection[Incarnation]) -> None:
         """Drop the records of all other incarnations that have no open requests."""
         with self.lock:
             for stale in [one for one in self.records if one not in incarnations]:
@@ -120,7 +120,7 @@
                     del self.records[stale]
 
     def _record(self, endpoint: Endpoint) -> EndpointRecord:
-        return self.records.setdefault(endpoint.start, EndpointRecord())
+        return self.records.setdefault(endpoint.incarnation, EndpointRecord())
 
     def _expected(self, endpoint: Endpoint, now: float) -> float:
         record = self._record(endpoint)
--- a/src/threadramp/policy/engine_host.py
+++ b/src/threadramp/policy/engine_host.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-    from threadramp.fleet.picture import Member
+    from threadramp.fleet.fleet_view import Member
 
 
 def gateway_for_engine(
--- a/src/threadramp/policy/proxied_crashes.py
+++ b/src/threadramp/policy/proxied_crashes.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 # A request whose connection breaks as fast as one without a request was not begun: a full queue
 # does that, and so does a proxy whose endpoint was already down. The margin allows for a thread
@@ -108,7 +108,7 @@
         while len(self.newest) > MAX_START_TIMES:
             del self.newest[next(iter(self.newest))]
 
-    def current(self, incarnation: Start) -> Start:
+    def current(self, incarnation: Incarnation) -> Incarnation:
         """Return the latest known incarnation of an endpoint, given one that may be outdated."""
         newest = self.newest.get(incarnation.instance, 0)
         return incarnation._replace(born=newest) if newest > incarnation.born else incarnation
--- a/src/threadramp/policy/scaling.py
+++ b/src/threadramp/policy/scaling.py
@@ -79,7 +79,7 @@
 
     def _with_spill(self, needed: dict[str, int], demands: Mapping[str, Demand]) -> dict[str, int]:
         """Return the targets within the bounds; others take over what exceeds a maximum."""
-        most, least = self.bounds.most, self.bounds.least
+        most, least = self.bounds.max_replicas, self.bounds.min_replicas
         excess = sum(max(0, count - most) for count in needed.values())
         bounded = {name: min(most, max(least, count)) for name, count in needed.items()}
         for name in sorted(bounded, key=lambda one: bounded[one] - demands[one].endpoints):
--- a/src/threadramp/runner/engine_lock.py
+++ b/src/threadramp/runner/engine_lock.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.fleet.rights import PROVEN_S, Right
+from threadramp.fleet.fenced_lock import VERIFICATION_TTL_S, FencedLock
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
 # this time: the kernel of the sender's box drops it, also if the process is suspended or has ended.
 MAX_DELIVERY_S = 1.0
 # Added to the minimum time between orders of two holders.
-TAKEOVER_MARGIN_S = PROVEN_S + MAX_DELIVERY_S
+TAKEOVER_MARGIN_S = VERIFICATION_TTL_S + MAX_DELIVERY_S
 
 
 def make_engine_lock(
@@ -27,7 +27,7 @@
     apart_s: float,
     clock: Clock,
     may_take: Callable[[], bool] = lambda: True,
-) -> Right:
+) -> FencedLock:
     """Return the lock of one engine, for one process to acquire.
 
     :param engine: address of the engine
@@ -35,7 +35,7 @@
     :param may_take: returns whether the lock may be taken, from another holder or while it is free
     """
     wait_s = apart_s + TAKEOVER_MARGIN_S
-    return Right(store, LOCK_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
+    return FencedLock(store, LOCK_PREFIX + engine, holder, wait_s, clock, lambda _: may_take())
 
 
 __all__ = ["LOCK_PREFIX", "MAX_DELIVERY_S", "TAKEOVER_MARGIN_S", "make_engine_lock"]
--- a/src/threadramp/runner/inspector.py
+++ b/src/threadramp/runner/inspector.py
@@ -35,7 +35,7 @@
         yield Fact(
             "taken", f"{self.sidecar.table.taken} of {self.sidecar.table.slots}", "own", None
         )
-        yield Fact("order number", str(self.sidecar.weights.lock.number), "the store", None)
+        yield Fact("order number", str(self.sidecar.weights.lock.fencing_token), "the store", None)
 
 
 __all__ = ["RunnerInspector"]
--- a/src/threadramp/runner/weight_loader.py
+++ b/src/threadramp/runner/weight_loader.py
@@ -15,8 +15,8 @@
 
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fenced_lock import FencedLock
     from threadramp.fleet.model import WeightTarget
-    from threadramp.fleet.rights import Right
     from threadramp.runner.engine import Engine
 
 ORDER_EFFECT_TIMEOUT_S = 4.0  # an accepted order that shows no effect for this long is repeated
@@ -48,7 +48,9 @@
     :param versions_apart: 1 if the engine loads each version, 2 if every second one
     """
 
-    def __init__(self, engine: Engine, clock: Clock, lock: Right, versions_apart: int = 1) -> None:
+    def __init__(
+        self, engine: Engine, clock: Clock, lock: FencedLock, versions_apart: int = 1
+    ) -> None:
         self.lock = lock
         self.versions_apart = versions_apart
         self.engine = engine
@@ -132,13 +134,13 @@
     def _may_have_buffered_order(self) -> bool:
         """Return whether the engine may yet process an order of a previous lock holder."""
         responsive_s = self.clock.now() - self.engine.responsive_since
-        return self.lock.shared and responsive_s < BUFFERED_ORDER_S
+        return self.lock.had_previous_holder and responsive_s < BUFFERED_ORDER_S
 
     def _send_order(self, target: WeightTarget) -> None:
         report = self.engine.report
         incarnation = self.engine.incarnation
         # Only the store can verify the lock: other processes may not know of the next holder.
-        fence = self.lock.proven_number()
+        fence = self.lock.verified_token()
         if self._may_have_buffered_order():
             fence = 0
         self.known_versions[target.model].is_blocked = not fence
@@ -148,7 +150,7 @@
         self.engine.pending_order = target
         self.engine.pending_model = target.model
         self.ordered_at = self.clock.now()
-        outcome = self.engine.send_order(target, fence, report.orders, self.lock.still_proven)
+        outcome = self.engine.send_order(target, fence, report.orders, self.lock.is_verified)
         log_state(
             "order",
             model=target.model,
@@ -156,7 +158,7 @@
             holds=report.versions.get(target.model, 0),
             instance=incarnation.instance,
             fence=fence,
-            lock_verified_ago_s=round(self.lock.shown_ago_s(), 2),
+            lock_verified_ago_s=round(self.lock.verified_ago_s(), 2),
             after=report.orders,
             outcome=outcome.value,
         )
--- a/tests/policy/test_proxied_crashes.py
+++ b/tests/policy/test_proxied_crashes.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.policy.crash_tracker import CrashTracker, SuspicionLevel
 from threadramp.policy.proxied_crashes import (
     BEGUN_MARGIN_S,
@@ -101,13 +101,13 @@
     tracker = CrashTracker()
     at = NOW
     for number, answers_first in rows:
-        start = Start(f"i-{number}", STARTED_MS)
+        start = Incarnation(f"i-{number}", STARTED_MS)
         tracker.record_crash(ONE, start, at, listens=True)
         if answers_first:  # an answer to another request, before the crash is resolved
             tracker.record_answer(start, at + 0.1)
         at += 0.2
     for number, _ in rows:
-        tracker.retract_crash(Start(f"i-{number}", STARTED_MS), at + 0.1, STARTED_MS)
+        tracker.retract_crash(Incarnation(f"i-{number}", STARTED_MS), at + 0.1, STARTED_MS)
     assert tracker.assess(ONE, at + 0.2).level is SuspicionLevel.NONE
 
 
@@ -116,7 +116,7 @@
     """The next incarnation answers under the same id, which does not disprove the crash."""
     tracker = CrashTracker()
     for number in order:
-        start = Start(f"i-{number}", STARTED_MS)
+        start = Incarnation(f"i-{number}", STARTED_MS)
         tracker.record_crash(ONE, start, NOW, listens=True)
         tracker.confirm_crash(ONE, start, NOW, STARTED_MS + 1)
         if answers:
@@ -129,7 +129,7 @@
 def test_an_answer_retracts_a_crash_that_nobody_resolved():
     """The box that saw the connection break was lost before it resolved the crash."""
     tracker = CrashTracker()
-    start = Start("i-0", STARTED_MS)
+    start = Incarnation("i-0", STARTED_MS)
     tracker.record_crash(ONE, start, NOW, listens=True)
     assert not tracker.record_answer(start, NOW + 5.0)
     assert tracker.record_answer(start, NOW + 11.0)
@@ -138,7 +138,7 @@
 
 def test_each_incarnation_behind_one_entry_counts_separately():
     tracker = CrashTracker()
-    listed = Start("i-0", STARTED_MS)
+    listed = Incarnation("i-0", STARTED_MS)
     for number in range(3):
         start = tracker.current_incarnation(listed)
         assert start.born == STARTED_MS + number
@@ -149,13 +149,13 @@
 
 def test_a_confirmed_crash_is_merged_with_the_next_start_time():
     here, there = CrashTracker(), CrashTracker()
-    start = Start("i-0", STARTED_MS)
+    start = Incarnation("i-0", STARTED_MS)
     here.record_crash(ONE, start, NOW, listens=True)
     there.merge(here.take_updates(), NOW)
     assert there.is_reported_crashed(start, NOW + 0.1)
     here.confirm_crash(ONE, start, NOW, STARTED_MS + 7)
     there.merge(here.take_updates(), NOW)
-    assert there.current_incarnation(start) == Start("i-0", STARTED_MS + 7)
+    assert there.current_incarnation(start) == Incarnation("i-0", STARTED_MS + 7)
     assert not there.is_reported_crashed(there.current_incarnation(start), NOW + 0.1)
     assert there.assess(ONE, NOW).crashes == 1
 
@@ -165,8 +165,8 @@
     known = StartTimes()
     known.record("i-0", STARTED_MS)
     known.record("i-0", reported)
-    assert known.current(Start("i-0", STARTED_MS - 2)) == Start("i-0", STARTED_MS)
-    assert known.current(Start("i-0", STARTED_MS + 2)) == Start("i-0", STARTED_MS + 2)
+    assert known.current(Incarnation("i-0", STARTED_MS - 2)) == Incarnation("i-0", STARTED_MS)
+    assert known.current(Incarnation("i-0", STARTED_MS + 2)) == Incarnation("i-0", STARTED_MS + 2)
 
 
 def test_start_times_are_bounded():
@@ -174,4 +174,4 @@
     for number in range(MAX_START_TIMES + 5):
         known.record(f"i-{number}", STARTED_MS)
     assert len(known.newest) == MAX_START_TIMES
-    assert known.current(Start("i-0", 1)).born == 1
+    assert known.current(Incarnation("i-0", 1)).born == 1
--- a/tests/runner/test_lock_takeover.py
+++ b/tests/runner/test_lock_takeover.py
@@ -26,12 +26,12 @@
     """
     store = MemoryStore()
     for holder in ("sidecar", "gateway"):
-        make_engine_lock(store, engine_address, holder, APART_S, clock).proven_number()
+        make_engine_lock(store, engine_address, holder, APART_S, clock).verified_token()
     clock.at += 10.0
     gateway = make_engine_lock(store, engine_address, "gateway", APART_S, clock)
-    gateway.proven_number()
+    gateway.verified_token()
     clock.at += 10.0
-    assert gateway.proven_number()  # its wait is over, it has sent no order yet
+    assert gateway.verified_token()  # its wait is over, it has sent no order yet
     again = make_engine_lock(store, engine_address, "gateway", APART_S, clock)
     own_engine = Engine(engine_address, "p", "gateway", Clock())
     own_engine.update_facts(facts(version=2))
