--- a/bench/pool_model.py
+++ b/bench/pool_model.py
@@ -2,7 +2,8 @@
 
 Engines have slots, a speed and weights that change by loads; trainers hand in a lot for each step
 as soon as its version is named. What goes where, what moves, what is loaded when and which sample
-goes first is decided by ``policy/`` and ``core/lot_book.py``. Seeded; a day takes about a second.
+goes first is decided by ``policy/`` and ``core/lot_tracker.py``. Seeded; a day takes about a
+second.
 
 Not in it: boxes that fail, the ways between them, the store. Figures of an event, a load and the
 lengths are those of the third customer's sheet.
@@ -15,7 +16,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import LotBook, LotRules, Phase, RunOutcome
+from threadramp.core.lot_tracker import LotRules, LotTracker, Phase, RunOutcome
 from threadramp.fleet.picture import Member
 from threadramp.lots.model import Lot, Sample
 from threadramp.policy.hurry import engines_to_hurry
@@ -122,7 +123,7 @@
 class OpenLot:
     """A lot, the true lengths of its samples and how far each is."""
 
-    book: LotBook
+    book: LotTracker
     at: float
     lengths: dict[str, int]
     done: dict[str, float] = field(default_factory=dict)
@@ -223,7 +224,7 @@
         minimum = max(1, trainer.step - 1)
         lot = Lot("lot", "h", "/", trainer.step, trainer.model, minimum, wanted, tuple(samples))
         rules = LotRules(3, False, self.now + DUE_S, self.now + 40)
-        return OpenLot(LotBook(lot, rules, lengths=trainer.lengths), self.now, lengths)
+        return OpenLot(LotTracker(lot, rules, lengths=trainer.lengths), self.now, lengths)
 
     def _guess(self, trainer: Trainer, length: int) -> int:
         """Return a guess in tokens that is right in the median but often far off."""
@@ -280,7 +281,7 @@
         views = list(self.views.values())
         if self.switches.moves:
             for one in to_faster(self._running(trainer), views, self.now):
-                self._book(trainer, one.sample).give_back(one.sample, one.runner, self.now)
+                self._book(trainer, one.sample).return_to_queue(one.sample, one.runner, self.now)
                 self.moves += 1
         for lot in trainer.lots:
             self._place(lot, views)
@@ -333,7 +334,7 @@
             if state.phase is Phase.RUNNING
         ]
 
-    def _book(self, trainer: Trainer, sample: str) -> LotBook:
+    def _book(self, trainer: Trainer, sample: str) -> LotTracker:
         return next(lot.book for lot in trainer.lots if sample in lot.book.states)
 
     def _run(self) -> None:
@@ -356,7 +357,7 @@
         version = engine.versions[trainer.model]
         lot.book.add_events(name, state.runner, before, ["x"] * new, [version] * new, "chain")
         if lot.done[name] >= length:
-            lot.book.run_ended(name, state.runner, RunOutcome.WHOLE, self.now)
+            lot.book.run_ended(name, state.runner, RunOutcome.COMPLETE, self.now)
             if length == max(lot.lengths.values()):
                 trainer.waits_s.append(lot.first_run[name] - lot.at)
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -14,7 +14,7 @@
 from tools.fleet import free_address
 
 from threadramp.config.settings import SidecarSettings
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
 from threadramp.core.head import Head, encode_snapshot
 from threadramp.core.keys import Binding, KeyTable
 from threadramp.core.membership import Membership
@@ -101,9 +101,9 @@
     return Change(revision, f"change-{revision:012d}", "endpoint", f"models-{index}", spec)
 
 
-def fleet_chain(endpoints: int) -> Chain:
+def fleet_chain(endpoints: int) -> ConfigurationChain:
     """Return the configuration of a fleet."""
-    chain = Chain()
+    chain = ConfigurationChain()
     pool = {"type": "model", "models": list(MODELS), "repeatable": False, "echoes_request_id": True}
     changes = [Change(1, "change-pool", "pool", "models", pool)]
     for number, model in enumerate(MODELS):
@@ -114,7 +114,7 @@
     return chain
 
 
-def sidecar_core(chain: Chain | None = None) -> SidecarCore:
+def sidecar_core(chain: ConfigurationChain | None = None) -> SidecarCore:
     """Return a sidecar's core, with a fleet's configuration if one is given."""
     settings = SidecarSettings(
         "models-0", "10.0.0.10:8000", "10.0.0.10:7001", "10.0.0.10:7002", "d"
@@ -122,7 +122,7 @@
     core = SidecarCore(settings, "incarnation0", 1, 0.0)
     if chain is not None:
         core.chain.restore(chain.snapshot())
-        core.swap.versions_read("boot", dict.fromkeys(MODELS, 1), 0.0)
+        core.served_versions.record_versions("boot", dict.fromkeys(MODELS, 1), 0.0)
     return core
 
 
@@ -161,7 +161,7 @@
         chain = fleet_chain(endpoints)
         membership = Membership()
 
-        def apply_one(at: Chain = chain, members: Membership = membership) -> None:
+        def apply_one(at: ConfigurationChain = chain, members: Membership = membership) -> None:
             at.apply([endpoint_change(at.revision % 100, at.revision + 1)])
             specs = at.of_kind("endpoint")
             mine = gateway_subset(list(specs), 7, TARGET_GATEWAYS, COVERAGE)
@@ -169,7 +169,7 @@
 
         report("change: processor time at a gateway", endpoints, processor_ms(apply_one, 20), "ms")
 
-        def apply_only(at: Chain = chain) -> None:
+        def apply_only(at: ConfigurationChain = chain) -> None:
             at.apply([endpoint_change(at.revision % 100, at.revision + 1)])
 
         report("change: processor time at a sidecar", endpoints, processor_ms(apply_only, 50), "ms")
@@ -208,12 +208,12 @@
         sizes = []
 
         def exchange(at: StepAssembly = step, given: dict = held, seen: list = sizes) -> None:
-            for name, poll in at.polls(9, time.monotonic()).items():
+            for name, poll in at.next_polls(9, time.monotonic()).items():
                 given.setdefault(name, []).extend(spec.sample for spec in poll.submit)
                 statuses = [RunningStatus(sample, 1, 55, 1) for sample in given[name]]
                 reply = StepPollReply(running=tuple(statuses))
                 seen.append(message_bytes(poll) + message_bytes(reply))
-                at.replied(name, reply, 0.0)
+                at.handle_reply(name, reply, 0.0)
 
         exchange()
         exchange()
--- a/src/threadramp/core/call.py
+++ b/src/threadramp/core/call.py
@@ -75,7 +75,7 @@
     refusal: Refusal
 
 
-class CallMachine:
+class CallStateMachine:
     """Decides on one call.
 
     :param members: returns the members of a pool
@@ -188,4 +188,4 @@
         return refusal
 
 
-__all__ = ["Call", "CallMachine", "ENDED_MOST", "Failure", "Finish", "MAX_ATTEMPTS", "Send"]
+__all__ = ["Call", "CallStateMachine", "ENDED_MOST", "Failure", "Finish", "MAX_ATTEMPTS", "Send"]
--- a/src/threadramp/core/chain.py
+++ b/src/threadramp/core/chain.py
@@ -14,7 +14,7 @@
 LOG_LENGTH = 512  # changes kept for peers that are behind; older ones cost them a snapshot
 
 
-class Chain:
+class ConfigurationChain:
     """One process's copy of the configuration.
 
     :ivar revision: of the newest change applied, 0 at the start
@@ -114,4 +114,4 @@
                 self.kinds[resource.kind] = {**others, resource.name: result.ok}
 
 
-__all__ = ["Chain", "LOG_LENGTH"]
+__all__ = ["ConfigurationChain", "LOG_LENGTH"]
--- a/src/threadramp/core/marks.py
+++ b/src/threadramp/core/closed_steps.py
@@ -13,16 +13,16 @@
 NO_STEP = -1
 
 
-class StepMarks:
+class ClosedSteps:
     """Closed steps by trainer and run; a closed step never opens again.
 
-    :ivar count: raised with every change, so that peers ask only for what is new
+    :ivar change_count: raised with every change, so that peers ask only for what is new
     """
 
     def __init__(self) -> None:
         self.marks: dict[tuple[str, str], StepMark] = {}
         self.changed_at: dict[tuple[str, str], int] = {}
-        self.count = 0
+        self.change_count = 0
 
     def is_closed(self, key: StepKey) -> bool:
         """Return whether a step is closed."""
@@ -49,9 +49,9 @@
                 mark.trainer, mark.run, max(held.mark, mark.mark), {*held.beyond, *mark.beyond}
             )
             if merged != held:
-                self.count += 1
+                self.change_count += 1
                 self.marks[owner] = merged
-                self.changed_at[owner] = self.count
+                self.changed_at[owner] = self.change_count
                 changed = True
         return changed
 
@@ -73,4 +73,4 @@
     return StepMark(trainer, run, mark, tuple(sorted(beyond)))
 
 
-__all__ = ["MAX_BEYOND", "StepMarks"]
+__all__ = ["MAX_BEYOND", "ClosedSteps"]
--- a/src/threadramp/core/freeze.py
+++ b/src/threadramp/core/freeze.py
@@ -13,7 +13,7 @@
 
     def __init__(self, limit_s: float, now: float) -> None:
         self.limit_s = limit_s
-        self.last = now
+        self.last_observed_at = now
         self.woke = float("-inf")
         self.lost_s = 0.0
         self.freezes = 0
@@ -23,8 +23,8 @@
 
         :returns: whether a freeze has just ended
         """
-        gap = now - self.last
-        self.last = now
+        gap = now - self.last_observed_at
+        self.last_observed_at = now
         if gap <= self.limit_s:
             return False
         self.woke = now
--- a/src/threadramp/core/head.py
+++ b/src/threadramp/core/head.py
@@ -10,7 +10,7 @@
 
 from threadramp.config.findings import Finding, FindingsError
 from threadramp.config.resources import check_references, check_spec, default_spec
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
 from threadramp.wire.messages import Change, Snapshot
 
 HEAD_KEY = "threadramp/head"
@@ -61,7 +61,7 @@
     return msgspec.json.decode(value, type=Snapshot)
 
 
-def is_prefix(older: Head, chain: Chain) -> bool:
+def is_prefix(older: Head, chain: ConfigurationChain) -> bool:
     """Return whether everything in ``older`` is part of ``chain``."""
     known = {change.revision: change.change_id for change in chain.log}
     return older.revision <= chain.revision and all(
@@ -69,7 +69,7 @@
     )
 
 
-def check_change(chain: Chain, change: Change) -> Change:
+def check_change(chain: ConfigurationChain, change: Change) -> Change:
     """Check a change against the configuration that it applies to.
 
     :returns: the change with all defaults filled in
@@ -92,7 +92,7 @@
     return checked
 
 
-def _weights_findings(chain: Chain, change: Change) -> list[Finding]:
+def _weights_findings(chain: ConfigurationChain, change: Change) -> list[Finding]:
     before = chain.get(change.kind, change.name)
     if change.kind != "weights" or before is None or change.spec is None:
         return []
--- a/src/threadramp/core/keys.py
+++ b/src/threadramp/core/keys.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class EndpointResponse:
     """The whole answer of an endpoint."""
 
     status: int
@@ -64,7 +64,7 @@
     body_digest: str
     state: KeyState
     refusal: int = 0
-    answer: Answer | None = None
+    answer: EndpointResponse | None = None
 
 
 @dataclass(frozen=True)
@@ -76,7 +76,7 @@
 class Replay:
     """The request ran before; this is its answer."""
 
-    answer: Answer
+    response: EndpointResponse
 
 
 @dataclass(frozen=True)
@@ -165,7 +165,7 @@
         self.entries.pop(binding.key, None)
         return self.refuse(binding, reason, message, now)
 
-    def finish(self, key: str, answer: Answer | None, keep: bool) -> None:
+    def finish(self, key: str, answer: EndpointResponse | None, keep: bool) -> None:
         """Record how a run ended.
 
         :param answer: the endpoint's answer, or none if it is not known whether it ran
@@ -244,7 +244,7 @@
 
 
 __all__ = [
-    "Answer",
+    "EndpointResponse",
     "Binding",
     "Decision",
     "EPOCHS_PER_WINDOW",
--- a/src/threadramp/core/lot_book.py
+++ b/src/threadramp/core/lot_tracker.py
@@ -37,7 +37,7 @@
     """How a run of a sample ended at its sidecar; ``CRASHED`` if its engine ended meanwhile."""
 
     NONE = ""
-    WHOLE = "whole"
+    COMPLETE = "whole"
     FAILED = "failed"
     IMPOSSIBLE = "impossible"
     CUT = "cut"
@@ -95,7 +95,7 @@
     give_up_at: float
 
 
-class LotBook:
+class LotTracker:
     """All samples of one lot."""
 
     def __init__(
@@ -123,7 +123,7 @@
         self.append_open = False
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether every sample is listed."""
         return len(self.listed) == len(self.states)
 
@@ -145,7 +145,7 @@
         expected = state.sample.expected_tokens or state.sample.tokens
         return self.lengths.left(expected, len(state.events))
 
-    def at_runner(self, runner: str) -> dict[str, int]:
+    def event_counts_at(self, runner: str) -> dict[str, int]:
         """Return the samples that a sidecar said it runs, with the events that are here."""
         return {
             name: len(state.events)
@@ -171,7 +171,7 @@
         state.lineage = lineage
         return True
 
-    def give_back(self, sample: str, runner: str, not_before: float) -> bool:
+    def return_to_queue(self, sample: str, runner: str, not_before: float) -> bool:
         """Note that a sidecar does not run a sample any more; its events stay."""
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.RUNNING or state.runner != runner:
@@ -181,7 +181,7 @@
         state.not_before = not_before
         return True
 
-    def put_off(self, sample: str, until: float) -> None:
+    def postpone(self, sample: str, until: float) -> None:
         """Let a waiting sample wait until a time."""
         state = self.states.get(sample)
         if state is not None and state.phase is Phase.WAITING:
@@ -189,7 +189,7 @@
 
     def lose_runner(self, runner: str, now: float) -> list[str]:
         """Give back all samples of a sidecar that was lost."""
-        return [name for name in self.states if self.give_back(name, runner, now)]
+        return [name for name in self.states if self.return_to_queue(name, runner, now)]
 
     def add_events(
         self,
@@ -232,7 +232,7 @@
         if state is None or state.phase is not Phase.RUNNING or state.runner != runner:
             return None
         state.runner = ""
-        if outcome is RunOutcome.WHOLE:
+        if outcome is RunOutcome.COMPLETE:
             self.lengths.ended(state.sample.expected_tokens, len(state.events))
             self._text_whole(state, now)
         elif outcome is RunOutcome.IMPOSSIBLE:  # one such answer is enough
@@ -263,7 +263,7 @@
         self._stage(state, ResultState.DEAD, "", now)
         return True
 
-    def give_up_late(self, now: float) -> list[str]:
+    def give_up_overdue(self, now: float) -> list[str]:
         """Give up the samples whose time is over."""
         if now < self.rules.give_up_at or self.ended:
             return []
@@ -321,13 +321,13 @@
         too_old = bool(state.versions) and min(state.versions) < self.lot.min_version
         mixed = self.rules.one_version and len(set(state.versions)) > 1
         if too_old or mixed or not state.events:
-            self._start_over(state, now)
+            self._restart(state, now)
         elif state.sample.reward is None:
             self._stage(state, ResultState.SUCCEEDED, "", now)
         else:
             state.phase = Phase.SCORING
 
-    def _start_over(self, state: SampleState, now: float) -> None:
+    def _restart(self, state: SampleState, now: float) -> None:
         state.events = []
         state.versions = []
         state.lineage = ""
@@ -361,4 +361,4 @@
     return tuple(results)
 
 
-__all__ = ["LotBook", "LotRules", "Phase", "RunOutcome", "SampleState"]
+__all__ = ["LotTracker", "LotRules", "Phase", "RunOutcome", "SampleState"]
--- a/src/threadramp/core/membership.py
+++ b/src/threadramp/core/membership.py
@@ -59,19 +59,19 @@
             member = Member(name, spec) if moved else replace(held, spec=spec)
             self.members[name] = replace(member, box_leaving=self._box_leaves(spec))
 
-    def heard(self, name: str, report: EndpointReport, now: float) -> None:
+    def record_report(self, name: str, report: EndpointReport, now: float) -> None:
         """Note a sidecar's report."""
         member = self.members.get(name)
         if member is not None and report.endpoint == name:
             self.members[name] = replace(member, report=report, heard=now, misses=0)
 
-    def missed(self, name: str) -> None:
+    def record_missed_heartbeat(self, name: str) -> None:
         """Note a beat without a reply."""
         member = self.members.get(name)
         if member is not None:
             self.members[name] = replace(member, misses=member.misses + 1)
 
-    def boxes_leave(self, boxes: frozenset[str]) -> None:
+    def set_leaving_boxes(self, boxes: frozenset[str]) -> None:
         """Take over the addresses of the boxes that the box list calls leaving."""
         self.leaving_boxes = boxes
         for name, member in self.members.items():
--- a/src/threadramp/core/outcomes.py
+++ b/src/threadramp/core/outcomes.py
@@ -15,7 +15,7 @@
 MAX_NOTED_KEYS = 10_000  # keeps the note below the service's limit of a megabyte
 
 
-class OutcomeNote(msgspec.Struct, frozen=True):
+class OutcomeRecord(msgspec.Struct, frozen=True):
     """What became of the keys of one incarnation that has stopped.
 
     :param complete: whether every key that it saw is noted
@@ -25,14 +25,14 @@
     states: dict[str, KeyState]
 
     @classmethod
-    def from_keys(cls, keys: KeyTable) -> OutcomeNote:
+    def from_keys(cls, keys: KeyTable) -> OutcomeRecord:
         """Note the newest keys of a table."""
         newest = list(keys.entries.items())[-MAX_NOTED_KEYS:]
         complete = len(newest) == len(keys.entries) and not keys.refused_floor
         return cls(complete, {key: entry.state for key, entry in newest})
 
     @classmethod
-    def from_bytes(cls, value: bytes) -> OutcomeNote:
+    def from_bytes(cls, value: bytes) -> OutcomeRecord:
         """Decode a note."""
         return msgspec.json.decode(value, type=cls)
 
@@ -52,4 +52,4 @@
     return f"{OUTCOMES_PREFIX}{endpoint}/{incarnation}"
 
 
-__all__ = ["OutcomeNote", "outcomes_key"]
+__all__ = ["OutcomeRecord", "outcomes_key"]
--- a/src/threadramp/core/progress.py
+++ b/src/threadramp/core/progress.py
@@ -24,7 +24,7 @@
     :ivar attempts: where attempts were submitted and not seen to be gone
     :ivar finished: attempts that are held whole
     :ivar tokens: produced so far by the attempt that was reported last
-    :ivar begun: monotonic time at which its first tokens were reported
+    :ivar started_at: monotonic time at which its first tokens were reported
     :ivar delivered: the attempt that was put into the lot, with its digest
     """
 
@@ -38,14 +38,14 @@
     digest: str = ""
     last_attempt: int = 0
     tokens: int = 0
-    begun: float | None = None
+    started_at: float | None = None
 
     def produced(self, tokens: int, now: float) -> None:
         """Note how many tokens there are."""
         if tokens < self.tokens or not tokens:
-            self.begun = None  # it was restarted, or waits
-        if tokens and self.begun is None:
-            self.begun = now
+            self.started_at = None  # it was restarted, or waits
+        if tokens and self.started_at is None:
+            self.started_at = now
         self.tokens = tokens
 
 
--- a/src/threadramp/core/samples.py
+++ b/src/threadramp/core/samples.py
@@ -18,7 +18,7 @@
 from threadramp.wire.outcomes import Reason
 
 if TYPE_CHECKING:
-    from threadramp.core.marks import StepMarks
+    from threadramp.core.closed_steps import ClosedSteps
     from threadramp.wire.messages import CallStamp, CloseStep, StepKey, StepPoll
 
 NO_VERSION = -1
@@ -99,7 +99,7 @@
     :ivar wasted_tokens: tokens that were produced and thrown away since they were last taken
     """
 
-    def __init__(self, marks: StepMarks) -> None:
+    def __init__(self, marks: ClosedSteps) -> None:
         self.marks = marks
         self.steps: dict[StepKey, HeldStep] = {}
         self.lots: dict[StepKey, str] = {}
@@ -222,11 +222,11 @@
         self.restarted_stale = 0
         return taken
 
-    def queued(self) -> int:
+    def queued_count(self) -> int:
         """Return how many samples wait."""
         return sum(len(step.queue) for step in self.steps.values())
 
-    def held(self) -> int:
+    def finished_count(self) -> int:
         """Return how many finished samples are held."""
         return sum(
             1
--- a/src/threadramp/core/swap.py
+++ b/src/threadramp/core/served_versions.py
@@ -18,7 +18,7 @@
 
     model: str
     version: int
-    fence: int
+    fencing_token: int
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
     history: tuple[Served, ...] = ()
 
 
-class SwapRecord:
+class ServedVersions:
     """The sidecar's own record of its engine's versions.
 
     :param started_ms: wall clock at the sidecar's start, the lower part of each order's number
@@ -82,7 +82,7 @@
             if state.verified is not None
         }
 
-    def due(
+    def next_actions(
         self, declared: dict[str, int], revision: int, now: float
     ) -> list[Order | ReadVersions]:
         """Return what to do towards the declared versions.
@@ -104,7 +104,7 @@
             if self._needs_order(model, version, now)
         ]
 
-    def order_sent(self, order: Order, now: float) -> None:
+    def record_order_sent(self, order: Order, now: float) -> None:
         """Note that an order is about to leave: from now on both versions are possible."""
         state = self._state(order.model)
         self.generation += 1
@@ -116,7 +116,9 @@
             history=_note(state.history, now, order.version),
         )
 
-    def order_ended(self, model: str, accepted: bool, now: float, engine_fence: int = 0) -> None:
+    def record_order_result(
+        self, model: str, accepted: bool, now: float, engine_fence: int = 0
+    ) -> None:
         """Note an order's answer; either way only a read-back says what is served.
 
         :param accepted: whether the engine said that it had loaded the version
@@ -136,7 +138,7 @@
         self.next_read = now
         del accepted  # a swap that claims success is verified like one that failed
 
-    def versions_read(self, boot: str, served: dict[str, int | None], now: float) -> None:
+    def record_versions(self, boot: str, served: dict[str, int | None], now: float) -> None:
         """Note what the engine says that it serves.
 
         :param boot: the engine's start mark
@@ -148,11 +150,11 @@
         for model in {*served, *self.models}:
             self._note_read(model, served.get(model), now)
 
-    def lost_time(self, now: float) -> None:
+    def record_freeze(self, now: float) -> None:
         """Note that this process was frozen: nothing is verified any more."""
-        self.distrust(now)
+        self.invalidate(now)
 
-    def distrust(self, now: float) -> None:
+    def invalidate(self, now: float) -> None:
         """Forget all verified versions; a read-back comes next."""
         self.generation += 1
         self.next_read = now
@@ -177,7 +179,7 @@
             self.verified_at[model] = now
         return now - self.verified_at.setdefault(model, now) > STUCK_AFTER_S
 
-    def is_possible(self, model: str, version: int, since: float) -> bool:
+    def may_have_served(self, model: str, version: int, since: float) -> bool:
         """Return whether a piece produced after ``since`` can be of ``version``."""
         state = self._state(model)
         before = [item for item in state.history if item.since <= since]
@@ -226,4 +228,4 @@
     return (*history, Served(now, version))[-HISTORY_LENGTH:]
 
 
-__all__ = ["Order", "ReadVersions", "SwapRecord"]
+__all__ = ["Order", "ReadVersions", "ServedVersions"]
--- a/src/threadramp/core/sidecar.py
+++ b/src/threadramp/core/sidecar.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.admission import Admission, Admitted, Queued
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
+from threadramp.core.closed_steps import ClosedSteps
 from threadramp.core.freeze import FreezeDetector
 from threadramp.core.keys import KeyState, KeyTable, Run
-from threadramp.core.marks import StepMarks
 from threadramp.core.samples import SampleBuffer
-from threadramp.core.swap import Order, SwapRecord
+from threadramp.core.served_versions import Order, ServedVersions
 from threadramp.policy.reserve import RESERVES
 from threadramp.policy.routing import rank_share
 from threadramp.wire.messages import (
@@ -31,9 +31,9 @@
 if TYPE_CHECKING:
     from threadramp.config.resources import Endpoint, Pool
     from threadramp.config.settings import SidecarSettings
-    from threadramp.core.keys import Answer, Binding, Replay, Wait
+    from threadramp.core.keys import Binding, EndpointResponse, Replay, Wait
     from threadramp.core.samples import SampleTask
-    from threadramp.core.swap import ReadVersions
+    from threadramp.core.served_versions import ReadVersions
     from threadramp.wire.messages import Reply, Request
 
 NEWS_S = 10.0  # several beats; without one for so long another may stand beside the engine
@@ -62,10 +62,10 @@
     model: str = ""
 
 
-class Verdict(Enum):
+class RolloutAction(Enum):
     """What becomes of a running rollout after a piece."""
 
-    GO_ON = auto()
+    CONTINUE = auto()
     STOP = auto()
     PAUSE = auto()
 
@@ -88,11 +88,11 @@
     ) -> None:
         self.settings = settings
         self.incarnation = incarnation
-        self.chain = Chain()
-        self.marks = StepMarks()
+        self.chain = ConfigurationChain()
+        self.marks = ClosedSteps()
         self.samples = SampleBuffer(self.marks)
         share = rank_share(settings.endpoint)
-        self.swap = SwapRecord(started_ms, share * settings.load_spread_s)
+        self.served_versions = ServedVersions(started_ms, share * settings.load_spread_s)
         self.freeze = FreezeDetector(settings.freeze_limit_s, now)
         self.admission = Admission(settings.slots, MAX_QUEUE, RESERVES[reserve]())
         self.keys = KeyTable(
@@ -139,22 +139,24 @@
     def observe(self, now: float) -> None:
         """Note the time; after a freeze nothing about the engine is taken for granted."""
         if self.freeze.observe(now):
-            self.swap.lost_time(now)
+            self.served_versions.record_freeze(now)
 
-    def orders_due(self, now: float) -> list[Order | ReadVersions]:
+    def next_engine_actions(self, now: float) -> list[Order | ReadVersions]:
         """Return what to do towards the declared versions."""
         self.observe(now)
-        due = self.swap.due(self.declared_versions(), self.chain.revision, now)
-        return [one for one in due if not isinstance(one, Order) or self.may_order(one, now)]
+        due = self.served_versions.next_actions(self.declared_versions(), self.chain.revision, now)
+        return [one for one in due if not isinstance(one, Order) or self.may_send_order(one, now)]
 
-    def may_order(self, order: Order, now: float) -> bool:
+    def may_send_order(self, order: Order, now: float) -> bool:
         """Return whether an order may still be sent; asked right before it is.
 
         The news that it rests on is a gateway's beat: one of the last while, and one that came
         behind any order of newer news that the engine has obeyed.
         """
         self.observe(now)
-        is_fresh = now - self.heard_at <= NEWS_S and self.heard_at >= self.swap.outdone_at
+        is_fresh = (
+            now - self.heard_at <= NEWS_S and self.heard_at >= self.served_versions.outdone_at
+        )
         return is_fresh and self.declared_versions().get(order.model) == order.version
 
     # -- calls -----------------------------------------------------------------------------
@@ -199,7 +201,7 @@
         return self.keys.withdraw(binding, reason, message, now), admitted
 
     def end_call(
-        self, call: str, binding: Binding | None, answer: Answer | None, now: float
+        self, call: str, binding: Binding | None, answer: EndpointResponse | None, now: float
     ) -> list[str]:
         """Note the end of a call that was sent.
 
@@ -237,7 +239,9 @@
 
     def _may_start(self, model: str) -> bool:
         endpoint = self.endpoint
-        return endpoint is not None and self.swap.may_start(model, endpoint.names_versions)
+        return endpoint is not None and self.served_versions.may_start(
+            model, endpoint.names_versions
+        )
 
     # -- rollouts --------------------------------------------------------------------------
 
@@ -245,7 +249,7 @@
         """Take the next sample to run, if a slot is left for it."""
         self.observe(now)
         pool = self.pool
-        if pool is None or self.leaving or not self.samples.queued():
+        if pool is None or self.leaving or not self.samples.queued_count():
             return None
         allowed = {model for model in pool.models if self._may_start(model)}
         if not allowed or not self.admission.start_rollout(now):
@@ -257,20 +261,20 @@
 
     def rollout_piece(
         self, task: SampleTask, text: str, tokens: int, version: int | None, since: float
-    ) -> Verdict:
+    ) -> RolloutAction:
         """Take a piece of a running rollout.
 
         :param version: as the engine named it; none where it names none
         :param since: monotonic time at which the run started
         """
-        if version is None or not self.swap.is_possible(task.model, version, since):
-            return Verdict.STOP
+        if version is None or not self.served_versions.may_have_served(task.model, version, since):
+            return RolloutAction.STOP
         if not self.samples.piece(task, text, tokens, version):
-            return Verdict.STOP
+            return RolloutAction.STOP
         if self.admission.rollouts_to_pause() > self.pausing:
             self.pausing += 1
-            return Verdict.PAUSE
-        return Verdict.GO_ON
+            return RolloutAction.PAUSE
+        return RolloutAction.CONTINUE
 
     def end_rollout(self, task: SampleTask, whole: bool, paused: bool, now: float) -> list[str]:
         """Note the end of a rollout's run.
@@ -314,7 +318,7 @@
         self.samples.sweep(now)
         changes, snapshot = self.chain.update_for(request.revision)
         marks = self.marks.since(request.marks_seen)
-        return SyncReply(self.report(now), changes, snapshot, marks, self.marks.count)
+        return SyncReply(self.report(now), changes, snapshot, marks, self.marks.change_count)
 
     def _poll(self, poll: StepPoll, now: float) -> Reply:
         if poll.revision < self.chain.revision:
@@ -322,7 +326,9 @@
             return StepRefused(Reason.SENDER_BEHIND.value, changes=changes, snapshot=snapshot)
         # What its gateway already knows may be that this endpoint is drained.
         lags = poll.revision > self.chain.revision
-        takes_work = not self.leaving and not lags and not self.swap.is_stuck(poll.model, now)
+        takes_work = (
+            not self.leaving and not lags and not self.served_versions.is_stuck(poll.model, now)
+        )
         return self.samples.poll(poll, takes_work, now)
 
     def report(self, now: float) -> EndpointReport:
@@ -337,7 +343,7 @@
             running=len(self.admission.running),
             queued=len(self.admission.queue),
             rollouts=self.admission.rollouts,
-            weights=self.swap.verified(),
+            weights=self.served_versions.verified(),
             problems=tuple(self._problems()),
         )
 
@@ -345,11 +351,11 @@
         problems = []
         if self.endpoint is None:
             problems.append("endpoint is not declared")
-        serving = self.swap.verified()
+        serving = self.served_versions.verified()
         for model, version in self.declared_versions().items():
             if serving.get(model) != version:
                 problems.append(f"{model}: serves {serving.get(model)}, declared {version}")
         return problems
 
 
-__all__ = ["CallRequest", "SidecarCore", "Verdict"]
+__all__ = ["CallRequest", "SidecarCore", "RolloutAction"]
--- a/src/threadramp/core/step.py
+++ b/src/threadramp/core/step.py
@@ -97,7 +97,7 @@
         self.cancels: dict[str, list[str]] = {name: [] for name in shard}
         self.asked = False
 
-    def require(self, oldest_allowed: int) -> None:
+    def raise_oldest_allowed(self, oldest_allowed: int) -> None:
         """Raise the oldest version that may be delivered, when the trainer has moved on."""
         if oldest_allowed <= self.oldest_allowed:
             return
@@ -118,7 +118,7 @@
             self.endpoints[name] = EndpointProgress(slots)
             self.cancels[name] = []
 
-    def polls(self, revision: int, now: float) -> dict[str, StepPoll]:
+    def next_polls(self, revision: int, now: float) -> dict[str, StepPoll]:
         """Return the next exchange with each endpoint that is due or has something to do."""
         submits = self._place(now) if self.asked else {}
         fetches = self._fetches()
@@ -139,7 +139,7 @@
             )
         return polls
 
-    def replied(self, name: str, reply: StepPollReply, now: float) -> list[Delivery]:
+    def handle_reply(self, name: str, reply: StepPollReply, now: float) -> list[Delivery]:
         """Take an endpoint's reply.
 
         :returns: samples that enter the lot
@@ -163,14 +163,14 @@
             if (delivery := self._deliver(name, payload)) is not None
         ]
 
-    def missed(self, name: str) -> None:
+    def record_missed_poll(self, name: str) -> None:
         """Note that an endpoint did not reply in time."""
         endpoint = self.endpoints[name]
         endpoint.misses += 1
         if endpoint.misses >= MISSES_UNTIL_LOST:
             self._forget(name)
 
-    def submit_failed(self, name: str) -> None:
+    def record_rejected_poll(self, name: str) -> None:
         """Note that an endpoint took nothing of the last exchange."""
         self._forget(name)
 
@@ -186,7 +186,7 @@
         return sum(1 for sample in self.samples.values() if sample.finished or sample.delivered)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether every sample is held whole at some endpoint."""
         return self.finished_count == len(self.samples)
 
@@ -301,7 +301,7 @@
 
     def _fetches(self) -> dict[str, list[str]]:
         fetches: dict[str, list[str]] = {}
-        if not self.is_whole:
+        if not self.is_complete:
             return fetches
         for name, sample in self.samples.items():
             if sample.delivered is not None or not sample.finished:
--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import Phase
+from threadramp.core.lot_tracker import Phase
 
 if TYPE_CHECKING:
     from threadramp.fleet.picture import Belief, Picture
--- a/src/threadramp/gateway/beats.py
+++ b/src/threadramp/gateway/beats.py
@@ -62,7 +62,7 @@
         """Beat once to every sidecar."""
         with self.state.lock:
             members = list(self.state.membership.members.values())
-            marks_count = self.state.marks.count
+            marks_count = self.state.marks.change_count
             requests = {member.spec.sidecar_sync: self._request(member) for member in members}
         replies = self.state.sync.exchange(requests, self.state.settings.sync_timeout_s)
         for member in members:
@@ -71,7 +71,7 @@
                 self._take(member, reply, marks_count)
             else:
                 with self.state.lock:
-                    self.state.membership.missed(member.name)
+                    self.state.membership.record_missed_heartbeat(member.name)
                 self.state.metrics.count("beat_missed", member.name)
 
     def _request(self, member: Member) -> SyncRequest:
@@ -101,7 +101,7 @@
                 reply.marks_count if same else -1,
             )
             self.state.marks.merge(reply.marks)
-            self.state.membership.heard(member.name, report, now())
+            self.state.membership.record_report(member.name, report, now())
             behind = report.revision < self.state.chain.revision
         if not same:
             log_state("sidecar_seen", endpoint=member.name, incarnation=report.incarnation)
@@ -154,14 +154,14 @@
             with self.state.lock:
                 if leaving != self.state.membership.leaving_boxes:
                     log_state("boxes_leaving", boxes=sorted(leaving))
-                self.state.membership.boxes_leave(leaving)
+                self.state.membership.set_leaving_boxes(leaving)
 
     def _write_marks(self) -> None:
         """Write closed steps to the key-value service whenever it answers."""
         written = 0
         while not self.state.stopped.wait(MARKS_INTERVAL_S):
             with self.state.lock:
-                count = self.state.marks.count
+                count = self.state.marks.change_count
                 marks = self.state.marks.since(written)
             try:
                 for mark in marks:
@@ -197,7 +197,7 @@
         return
     state.configuration.apply(reply.changes, reply.snapshot)
     with state.lock:
-        state.membership.heard(member.name, reply.report, now())
+        state.membership.record_report(member.name, reply.report, now())
     log_state(
         "caught_up",
         endpoint=member.name,
--- a/src/threadramp/gateway/calls.py
+++ b/src/threadramp/gateway/calls.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from threadramp.core.call import Call, CallMachine, Failure, Finish, Send
-from threadramp.core.keys import Answer
+from threadramp.core.call import Call, CallStateMachine, Failure, Finish, Send
+from threadramp.core.keys import EndpointResponse
 from threadramp.gateway.beats import catch_up_with
 from threadramp.gateway.crashing_calls import CallGuard
 from threadramp.gateway.sender import Outgoing, Sender, Stream
@@ -62,7 +62,7 @@
 class CallerAnswer:
     """A whole answer for a caller."""
 
-    answer: Answer
+    answer: EndpointResponse
     request_id: str
     endpoint: str
     replayed: bool = False
@@ -98,7 +98,7 @@
                 self.guard.admit(request)
         except RefusedError as error:
             raise RefusedError(_careful(request, error.refusal)) from error
-        machine = CallMachine(
+        machine = CallStateMachine(
             call,
             self.state.members,
             self.state.candidates,
@@ -112,7 +112,9 @@
         pool = self.state.declared("pool", request.pool)
         return self._call(request, pool)
 
-    def _drive(self, machine: CallMachine, request: CallerRequest) -> CallerAnswer | CallerStream:
+    def _drive(
+        self, machine: CallStateMachine, request: CallerRequest
+    ) -> CallerAnswer | CallerStream:
         action = machine.start(now())
         while isinstance(action, Send):
             if action.pause_s:
@@ -143,7 +145,7 @@
         return refusal
 
     def _send(
-        self, machine: CallMachine, action: Send, request: CallerRequest
+        self, machine: CallStateMachine, action: Send, request: CallerRequest
     ) -> CallerAnswer | CallerStream | Refusal | Failure:
         call = machine.call
         name = action.member.name
@@ -158,7 +160,7 @@
         finally:
             if not streaming:
                 self.state.opened(name, -1)
-        if isinstance(result, Answer):
+        if isinstance(result, EndpointResponse):
             return CallerAnswer(result, call.request_id, name)
         return result
 
--- a/src/threadramp/gateway/configuration.py
+++ b/src/threadramp/gateway/configuration.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.core.chain import Chain
+    from threadramp.core.chain import ConfigurationChain
     from threadramp.platform.kv import KvClient, KvValue
     from threadramp.wire.messages import Snapshot
 
@@ -70,7 +70,11 @@
     """
 
     def __init__(
-        self, chain: Chain, kv: KvClient, changed: Callable[[], None], lock: threading.RLock
+        self,
+        chain: ConfigurationChain,
+        kv: KvClient,
+        changed: Callable[[], None],
+        lock: threading.RLock,
     ) -> None:
         self.chain = chain
         self.kv = kv
--- a/src/threadramp/gateway/organisation_keys.py
+++ b/src/threadramp/gateway/organisation_keys.py
@@ -7,13 +7,13 @@
 from threadramp.fleet.organisations import digest
 
 if TYPE_CHECKING:
-    from threadramp.core.chain import Chain
+    from threadramp.core.chain import ConfigurationChain
 
 
 class OrganisationKeys:
     """Finds holders by the digests of keys, worked out once for each revision."""
 
-    def __init__(self, chain: Chain) -> None:
+    def __init__(self, chain: ConfigurationChain) -> None:
         self.chain = chain
         self.revision = -1
         self.holders: dict[str, str] = {}
--- a/src/threadramp/gateway/sender.py
+++ b/src/threadramp/gateway/sender.py
@@ -15,7 +15,7 @@
 )
 
 from threadramp.core.call import Failure
-from threadramp.core.keys import Answer
+from threadramp.core.keys import EndpointResponse
 from threadramp.report.log import log_state
 from threadramp.wire import headers
 from threadramp.wire.outcomes import Outcome, Refusal
@@ -65,7 +65,7 @@
         self.token = token
         self.pool = PoolManager(num_pools=512, maxsize=connections, retries=False)
 
-    def send(self, call: Outgoing) -> Answer | Stream | Refusal | Failure:
+    def send(self, call: Outgoing) -> EndpointResponse | Stream | Refusal | Failure:
         """Send a call and return its answer, the sidecar's refusal, or how it failed."""
         try:
             response = self._request(call)
@@ -110,7 +110,7 @@
         )
         return False
 
-    def _whole(self, response: BaseHTTPResponse) -> Answer | Refusal | Failure:
+    def _whole(self, response: BaseHTTPResponse) -> EndpointResponse | Refusal | Failure:
         try:
             body = response.read()
         except ReadTimeoutError:
@@ -125,7 +125,7 @@
             return _refusal(body)
         if named != digest(body):
             return Failure.BROKEN
-        return Answer(response.status, response.headers.get("Content-Type", ""), body)
+        return EndpointResponse(response.status, response.headers.get("Content-Type", ""), body)
 
 
 def _refusal(body: bytes) -> Refusal | Failure:
--- a/src/threadramp/gateway/settle.py
+++ b/src/threadramp/gateway/settle.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from threadramp.core.keys import KeyState
-from threadramp.core.outcomes import OutcomeNote, outcomes_key
+from threadramp.core.outcomes import OutcomeRecord, outcomes_key
 from threadramp.platform.kv import KvUnavailableError
 from threadramp.wire.messages import KeyAnswer, KeyQuery
 from threadramp.wire.outcomes import DEFAULT_RETRY_AFTER_S, Outcome, Reason, Refusal, RefusedError
@@ -99,7 +99,7 @@
             raise _try_later("the key-value service does not answer") from error
         if not held.value:
             return Settlement(Outcome.UNKNOWN.value, "gone", binding.endpoint)
-        note = OutcomeNote.from_bytes(held.value)
+        note = OutcomeRecord.from_bytes(held.value)
         state = note.state(binding.key)
         if state is None:
             return Settlement(Outcome.UNKNOWN.value, "gone", binding.endpoint)
--- a/src/threadramp/gateway/state.py
+++ b/src/threadramp/gateway/state.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING, Any
 
 from threadramp.core.burn import BurnRecorder
-from threadramp.core.chain import Chain
-from threadramp.core.marks import StepMarks
+from threadramp.core.chain import ConfigurationChain
+from threadramp.core.closed_steps import ClosedSteps
 from threadramp.core.membership import Membership
 from threadramp.fleet.clock import steady_s
 from threadramp.gateway.configuration import Configuration
@@ -61,8 +61,8 @@
         self.wake = threading.Event()
         self.stopping = threading.Event()
         self.stopped = threading.Event()
-        self.chain = Chain()
-        self.marks = StepMarks()
+        self.chain = ConfigurationChain()
+        self.marks = ClosedSteps()
         self.membership = Membership()
         self.kv = KvClient(settings.platform.kv, settings.platform.kv_timeout_s)
         self.configuration = Configuration(
--- a/src/threadramp/gateway/steps.py
+++ b/src/threadramp/gateway/steps.py
@@ -196,7 +196,7 @@
             if now() - shown >= PROGRESS_INTERVAL_S:
                 shown = now()
                 yield _line(ProgressLine(assembly.finished_count, len(assembly.samples)))
-            if not assembly.is_whole:
+            if not assembly.is_complete:
                 time.sleep(POLL_INTERVAL_S)
         self._record_wait(assembly.key, begun)
         lot = assembly.lot_digest()
@@ -206,7 +206,7 @@
     def _is_complete(self, assembly: StepAssembly, spec: Trainer, request: StepRequest) -> bool:
         """Return whether the lot is whole and still fresh, judged right before its end line."""
         if assembly.is_delivered:
-            assembly.require(self._oldest_allowed(spec, request))
+            assembly.raise_oldest_allowed(self._oldest_allowed(spec, request))
         return assembly.is_delivered
 
     def _record_staleness(self, spec: Trainer, request: StepRequest, delivery: Delivery) -> None:
@@ -228,8 +228,8 @@
         shard = self._shard(assembly.key.trainer, spec)
         for name, item in shard.items():
             assembly.add_endpoint(name, self._room(item))
-        assembly.require(self._oldest_allowed(spec, request))
-        polls = assembly.polls(self.state.chain.revision, now())
+        assembly.raise_oldest_allowed(self._oldest_allowed(spec, request))
+        polls = assembly.next_polls(self.state.chain.revision, now())
         addressed = {
             shard[name].sidecar_sync: poll for name, poll in polls.items() if name in shard
         }
@@ -238,13 +238,13 @@
         for name in polls:
             reply = replies.get(shard[name].sidecar_sync) if name in shard else None
             if isinstance(reply, StepPollReply):
-                deliveries += assembly.replied(name, reply, now())
+                deliveries += assembly.handle_reply(name, reply, now())
             elif isinstance(reply, StepRefused):
                 refusal = self._step_refused(assembly, name, reply)
                 if refusal is not None:
                     return [], refusal
             else:
-                assembly.missed(name)
+                assembly.record_missed_poll(name)
         return deliveries, None
 
     def _step_refused(
@@ -252,7 +252,7 @@
     ) -> Refusal | None:
         if reply.reason == Reason.SENDER_BEHIND.value:
             self.state.configuration.apply(reply.changes, reply.snapshot)
-            assembly.submit_failed(name)
+            assembly.record_rejected_poll(name)
             return None
         log_state("step_refused", step=assembly.key.step, reason=reply.reason)
         if reply.reason == Reason.ALREADY_DELIVERED.value:
--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -59,7 +59,7 @@
             now = self.clock.now()
             for lot in self.owned.open():
                 with self.owned.lock:
-                    late = lot.book.give_up_late(now)
+                    late = lot.book.give_up_overdue(now)
                     chunk = lot.book.next_chunk(now)
                 if late:
                     log_state("given_up_late", lot=lot.lot_id, samples=late)
--- a/src/threadramp/lots/checkpoints.py
+++ b/src/threadramp/lots/checkpoints.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from threadramp.core.lot_book import SampleState
+    from threadramp.core.lot_tracker import SampleState
     from threadramp.lots.owned import OwnedLot, OwnedLots
     from threadramp.platform.store import StoreClient
 
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import Phase, RunOutcome
+from threadramp.core.lot_tracker import Phase, RunOutcome
 from threadramp.platform.headers import caller_of
 from threadramp.policy.crash_book import Verdict
 from threadramp.policy.fingerprint import fingerprint
@@ -23,7 +23,7 @@
     from threadramp.policy.sample_placement import RunnerView
 
 HOLD_MOST_S = 5.0  # before a refused sample is looked at again; each look writes a line
-LIVED_ON = (RunOutcome.WHOLE, RunOutcome.FAILED, RunOutcome.IMPOSSIBLE)
+LIVED_ON = (RunOutcome.COMPLETE, RunOutcome.FAILED, RunOutcome.IMPOSSIBLE)
 
 
 class SampleGuard:
@@ -77,7 +77,7 @@
 
     def _put_off(self, lot: OwnedLot, sample: str, ruling: Ruling, now: float) -> None:
         with self.owned.lock:
-            lot.book.put_off(sample, now + min(HOLD_MOST_S, ruling.again_s))
+            lot.book.postpone(sample, now + min(HOLD_MOST_S, ruling.again_s))
 
     def _taken(self) -> set[str]:
         """Return the runners at which a suspect runs that goes apart from others."""
--- a/src/threadramp/lots/kept_texts.py
+++ b/src/threadramp/lots/kept_texts.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from threadramp.core.lot_book import LotBook
+    from threadramp.core.lot_tracker import LotTracker
 
 KEPT_TEXTS = 400  # samples of ended lots whose text may serve a later lot
 
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.texts: dict[str, tuple[list[str], list[int], str]] = {}
 
-    def keep(self, book: LotBook) -> None:
+    def keep(self, book: LotTracker) -> None:
         """Keep the text of a lot's samples that have no result."""
         for name, state in book.states.items():
             if state.is_open and state.events:
@@ -25,7 +25,7 @@
         for name in list(self.texts)[: max(0, len(self.texts) - KEPT_TEXTS)]:
             del self.texts[name]
 
-    def use(self, book: LotBook) -> list[str]:
+    def use(self, book: LotTracker) -> list[str]:
         """Give a new lot's samples the text that is kept; returns those that it fits."""
         used = []
         for name in book.states:
--- a/src/threadramp/lots/moving.py
+++ b/src/threadramp/lots/moving.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import Phase
+from threadramp.core.lot_tracker import Phase
 from threadramp.policy.moves import RunningSample, to_faster
 from threadramp.report.log import log_state
 
@@ -51,7 +51,7 @@
         """Take samples of a lot from a sidecar."""
         name = view.member.name
         with self.owned.lock:
-            have = lot.book.at_runner(name)
+            have = lot.book.event_counts_at(name)
             moved = {sample: have[sample] for sample in samples if sample in have}
         if not moved:
             return
@@ -59,7 +59,7 @@
         self.drop(view, moved)
         with self.owned.lock:
             for sample in moved:
-                lot.book.give_back(sample, name, self.clock.now())
+                lot.book.return_to_queue(sample, name, self.clock.now())
 
 
 def _running(lot: OwnedLot, views: Mapping[str, RunnerView]) -> list[RunningSample]:
--- a/src/threadramp/lots/news.py
+++ b/src/threadramp/lots/news.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import Phase, RunOutcome
+from threadramp.core.lot_tracker import Phase, RunOutcome
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
             if lot is None:
                 continue
             with self.owned.lock:
-                lot.book.give_back(sample, view.member.name, now)
+                lot.book.return_to_queue(sample, view.member.name, now)
         if reply.updates or reply.unknown:
             self.owned.work.set()
 
@@ -92,9 +92,10 @@
             update.sample, name, update.base, update.events, update.versions, update.lineage
         )
         if not added:
-            if update.sample in book.at_runner(name):  # another gateway had it begun anew there
+            # another gateway had it begun anew there
+            if update.sample in book.event_counts_at(name):
                 log_state("events_refused", sample=update.sample, sidecar=name, base=update.base)
-                book.give_back(update.sample, name, now)
+                book.return_to_queue(update.sample, name, now)
             return None
         if not update.outcome:
             return None
--- a/src/threadramp/lots/owned.py
+++ b/src/threadramp/lots/owned.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from threadramp.core.lot_book import LotBook
+    from threadramp.core.lot_tracker import LotTracker
     from threadramp.lots.model import KeptHead, Result
 
 MAX_PAGE_CHARACTERS = 600_000  # a page of results may have a megabyte
@@ -26,7 +26,7 @@
         that nobody else can have owned it before
     """
 
-    book: LotBook
+    book: LotTracker
     kept: KeptHead
     looked: bool = False
     others: bool = False
@@ -104,7 +104,7 @@
                     return None
                 book = owned.book
                 left = wait()
-                if after < len(book.listed) or book.ended or book.is_whole or left <= 0:
+                if after < len(book.listed) or book.ended or book.is_complete or left <= 0:
                     results = first_page(book.listed[after:])
                     return Page(len(book.states), book.ended, results)
                 self.listed.wait(left)
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import LotBook, LotRules
+from threadramp.core.lot_tracker import LotRules, LotTracker
 from threadramp.lots.journal import LotMissingError, NotOwnerError
 from threadramp.lots.kept_texts import KeptTexts
 from threadramp.lots.latest_ends import LatestEnds
@@ -207,7 +207,7 @@
     def _begin(self, lot: Lot, kept: KeptHead) -> None:
         """Start on a lot that has just been kept."""
         rules = rules_of(kept.head, self.clock.now())
-        book = LotBook(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
+        book = LotTracker(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
         owned = OwnedLot(book, kept)
         reused = self.texts.use(owned.book)
         self.owned.add(owned)
@@ -258,7 +258,7 @@
         kept = whole.kept
         lengths = self._lengths_of(whole.lot)
         rules = self._rules_again(kept)
-        book = LotBook(whole.lot, rules, whole.results, lengths, self.listing)
+        book = LotTracker(whole.lot, rules, whole.results, lengths, self.listing)
         reused = [
             name
             for name, text in texts.items()
--- a/src/threadramp/lots/runners.py
+++ b/src/threadramp/lots/runners.py
@@ -6,7 +6,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import Phase
+from threadramp.core.lot_tracker import Phase
 from threadramp.fleet.runner_members import RunnerMembers
 from threadramp.lots.hurrying import HurriedLoads
 from threadramp.lots.moving import SampleMoves
@@ -81,7 +81,7 @@
         """Tell the sidecars that the samples of a lot are not wanted any more."""
         for view in list(self.views.values()):
             with self.owned.lock:
-                have = lot.book.at_runner(view.member.name)
+                have = lot.book.event_counts_at(view.member.name)
             if have:
                 self._drop(view, have, let_finish)
 
@@ -159,7 +159,7 @@
         if not lots:
             return False
         with self.owned.lock:
-            have = {key: n for lot in lots for key, n in lot.book.at_runner(name).items()}
+            have = {key: n for lot in lots for key, n in lot.book.event_counts_at(name).items()}
         if not have and name not in self.asked:
             return False
         facts = self.peers.facts_for(view.member)
@@ -282,7 +282,7 @@
                 if sample in taken:
                     lot.book.accepted(sample, name, taken[sample])
             for lot, sample in refused:
-                lot.book.give_back(sample, name, again_at)
+                lot.book.return_to_queue(sample, name, again_at)
         log_state("samples_sent", sidecar=name, taken=sorted(taken), refused=len(refused))
 
     def _order(self, lot: OwnedLot, sample: str, runner: str) -> RunOrder:
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import Phase
+from threadramp.core.lot_tracker import Phase
 from threadramp.edge.job import Ending, Job
 from threadramp.platform.headers import reward_headers
 from threadramp.policy.callers import ANYBODY, NOBODY
--- a/src/threadramp/policy/tail.py
+++ b/src/threadramp/policy/tail.py
@@ -55,9 +55,11 @@
     ) -> list[SampleProgress]:
         """Return the samples that get a second attempt now."""
         rates = {
-            name: sample.tokens / (now - sample.begun)
+            name: sample.tokens / (now - sample.started_at)
             for name, sample in samples.items()
-            if _runs_once(sample) and sample.begun is not None and now - sample.begun > MIN_AGE_S
+            if _runs_once(sample)
+            and sample.started_at is not None
+            and now - sample.started_at > MIN_AGE_S
         }
         if not rates:
             return []
--- a/src/threadramp/report/day.py
+++ b/src/threadramp/report/day.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from threadramp.core.burn import BurnPoint, ObjectiveRecord
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.report.lot_times import LotRuns, LotTimes
 from threadramp.report.organisation_shares import OrganisationShares
 
@@ -178,7 +178,7 @@
 
 
 def _take_run(log: DayLog, at: float, row: dict[str, Any]) -> None:
-    if row["outcome"] == RunOutcome.WHOLE.value:
+    if row["outcome"] == RunOutcome.COMPLETE.value:
         log.runs.whole(row["lot"], row["sample"], row["events"])
 
 
--- a/src/threadramp/runner/run.py
+++ b/src/threadramp/runner/run.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.fleet.model import Start
 from threadramp.wire.runner import RunUpdate
 
--- a/src/threadramp/runner/runs.py
+++ b/src/threadramp/runner/runs.py
@@ -5,7 +5,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.runner.run import Run
 from threadramp.wire.runner import is_changing
 
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -7,7 +7,7 @@
 
 from urllib3.exceptions import HTTPError
 
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.edge.exchange import ExchangeError, body_pieces, is_broken, streamed_answer
 from threadramp.lots.names import given_name
 from threadramp.platform.headers import OTHER_INSTANCE_STATUS, read_answer, sample_headers
@@ -172,7 +172,7 @@
             self._finish(self._outcome_of_break(True), "the stream ended within an event")
             return
         self.engine.release_connection(exchange, streamed_answer(response))
-        self._finish(RunOutcome.WHOLE, "")
+        self._finish(RunOutcome.COMPLETE, "")
 
     def _add_event(self, event: Event) -> bool:
         """Add one event to the run; false if the run is over."""
--- a/src/threadramp/runner/sidecar.py
+++ b/src/threadramp/runner/sidecar.py
@@ -5,7 +5,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.fleet.picture import HOST_ROLE, Member
 from threadramp.fleet.relaying import relay_through
 from threadramp.report.guard import start_loop
--- a/src/threadramp/sidecar/calls.py
+++ b/src/threadramp/sidecar/calls.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from threadramp.core.admission import Queued
-from threadramp.core.keys import Answer, Replay, Wait
+from threadramp.core.keys import EndpointResponse, Replay, Wait
 from threadramp.core.sidecar import CallRequest
 from threadramp.edge.endpoint_probe import probe_without_request
 from threadramp.runner.crash_detection import has_crashed
@@ -45,7 +45,7 @@
 class Replayed:
     """An answer that was kept from an earlier run."""
 
-    answer: Answer
+    answer: EndpointResponse
 
 
 class CallRunner:
@@ -55,7 +55,7 @@
         self.state = state
         self.core = state.core
 
-    def run(self, call: IncomingCall) -> Answer | Replayed | Refusal:
+    def run(self, call: IncomingCall) -> EndpointResponse | Replayed | Refusal:
         """Run a call at a plain service, or answer it from memory."""
         deadline = now() + call.request.time_left_s
         admitted = self._admit(call, deadline)
@@ -82,7 +82,7 @@
         ended = error.broken and has_crashed(address, lived_s, probe_without_request)
         return Reason.ENDPOINT_ENDED if ended else Reason.BROKEN_ANSWER
 
-    def _send(self, call: IncomingCall, deadline: float) -> Answer:
+    def _send(self, call: IncomingCall, deadline: float) -> EndpointResponse:
         headers = {REQUEST_ID: call.request_id, "Content-Type": call.content_type}
         time_left = deadline - now()
         return self.state.engine.call(
@@ -100,13 +100,13 @@
         return self._pieces(call, chat, deadline)
 
     def _pieces(self, call: IncomingCall, chat: ChatRequest, deadline: float) -> Iterator[Chunk]:
-        ended: Answer | None = None
+        ended: EndpointResponse | None = None
         try:
             for chunk in self.state.engine.stream(chat.to_bytes(), chat.request_id):
                 yield chunk
                 if not self._in_time(deadline):
                     raise BrokenAnswerError("its deadline has passed")
-            ended = Answer(200, "text/event-stream", b"")
+            ended = EndpointResponse(200, "text/event-stream", b"")
         finally:
             self._end(call, ended)
 
@@ -119,7 +119,7 @@
         try:
             decision = self._decide(call, deadline)
             if isinstance(decision, Replay):
-                return Replayed(decision.answer)
+                return Replayed(decision.response)
             if isinstance(decision, Refusal):
                 return decision
             if isinstance(decision, Queued) and not event.wait(max(0.0, deadline - now())):
@@ -157,7 +157,7 @@
             self.state.admit(admitted)
             return refusal
 
-    def _end(self, call: IncomingCall, answer: Answer | None) -> None:
+    def _end(self, call: IncomingCall, answer: EndpointResponse | None) -> None:
         with self.state.lock:
             admitted = self.core.end_call(call.request.call, call.request.binding, answer, now())
             self.state.admit(admitted)
--- a/src/threadramp/sidecar/daemon.py
+++ b/src/threadramp/sidecar/daemon.py
@@ -8,7 +8,7 @@
 import uuid
 from typing import TYPE_CHECKING
 
-from threadramp.core.outcomes import OutcomeNote, outcomes_key
+from threadramp.core.outcomes import OutcomeRecord, outcomes_key
 from threadramp.core.sidecar import SidecarCore
 from threadramp.platform.kv import ABSENT, KvClient, KvUnavailableError
 from threadramp.report.log import log_state
@@ -86,7 +86,9 @@
             now() + self.settings.stop_grace_s,
         )
         self._leave_note()
-        self._wait_until(lambda: not core.samples.held(), now() + self.settings.buffer_grace_s)
+        self._wait_until(
+            lambda: not core.samples.finished_count(), now() + self.settings.buffer_grace_s
+        )
 
     def _leave_note(self) -> None:
         """Note what became of the keys, so that a resend after the stop gets a definite word."""
@@ -94,7 +96,7 @@
         with self.state.lock:
             if not core.keys.entries:
                 return
-            note = OutcomeNote.from_keys(core.keys)
+            note = OutcomeRecord.from_keys(core.keys)
         key = outcomes_key(self.settings.endpoint, core.incarnation)
         try:
             self.kv.swap(key, ABSENT, note.to_bytes(), self.kv.lease(self.settings.key_window_s))
--- a/src/threadramp/sidecar/engine.py
+++ b/src/threadramp/sidecar/engine.py
@@ -18,7 +18,7 @@
     ProtocolError,
 )
 
-from threadramp.core.keys import Answer
+from threadramp.core.keys import EndpointResponse
 from threadramp.edge.exchange import is_broken
 from threadramp.report.log import log_state
 from threadramp.wire.headers import REQUEST_ID
@@ -30,7 +30,7 @@
 
     from urllib3 import BaseHTTPResponse
 
-    from threadramp.core.swap import Order
+    from threadramp.core.served_versions import Order
 
 CONNECT_TIMEOUT_S = 1.0
 CONTROL_TIMEOUT_S = 5.0
@@ -160,7 +160,7 @@
         body: bytes,
         timeout_s: float,
         echoes: bool,
-    ) -> Answer:
+    ) -> EndpointResponse:
         """Make a call and return the whole answer.
 
         :param echoes: whether the answer must name the request id
@@ -171,7 +171,7 @@
             response = self._request(line, method, path, headers, body, timeout_s, preload=True)
         self._check_id(response, headers[REQUEST_ID], echoes)
         content_type = response.headers.get("Content-Type", "application/octet-stream")
-        return Answer(response.status, content_type, response.data)
+        return EndpointResponse(response.status, content_type, response.data)
 
     def stream(self, body: bytes, request_id: str) -> Iterator[Chunk]:
         """Stream a chat completion until its end mark.
@@ -210,7 +210,7 @@
         :returns: whether the engine says that it has loaded it, and the fencing number that it
             holds if it refused an older one
         """
-        row = {"model": order.model, "version": order.version, "fence": order.fence}
+        row = {"model": order.model, "version": order.version, "fence": order.fencing_token}
         try:
             status, body = self._ordered(msgspec.json.encode(row), may_send)
         except TooLateError:
--- a/src/threadramp/sidecar/reconciler.py
+++ b/src/threadramp/sidecar/reconciler.py
@@ -5,7 +5,7 @@
 import threading
 from typing import TYPE_CHECKING
 
-from threadramp.core.swap import Order
+from threadramp.core.served_versions import Order
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
 from threadramp.sidecar.state import now
@@ -46,7 +46,7 @@
         while not self.stopped.wait(TICK_S):
             with self.state.lock:
                 serves_models = bool(self.core.declared_versions())
-                due = self.core.orders_due(now()) if serves_models else []
+                due = self.core.next_engine_actions(now()) if serves_models else []
             for action in due:
                 if isinstance(action, Order):
                     self._order(action)
@@ -55,29 +55,29 @@
 
     def _order(self, order: Order) -> None:
         with self.state.lock:
-            if not self.core.may_order(order, now()):
+            if not self.core.may_send_order(order, now()):
                 return  # it lay here while another was carried out, and news has overtaken it
-            self.core.swap.order_sent(order, now())
-        log_state("order_sent", model=order.model, version=order.version, fence=order.fence)
+            self.core.served_versions.record_order_sent(order, now())
+        log_state("order_sent", model=order.model, version=order.version, fence=order.fencing_token)
         accepted, fence = self.state.engine.order(order, lambda: self._may_order(order))
         self.state.metrics.count("order", "accepted" if accepted else "failed")
         with self.state.lock:
-            self.core.swap.order_ended(order.model, accepted, now(), fence)
+            self.core.served_versions.record_order_result(order.model, accepted, now(), fence)
         self._read()
 
     def _may_order(self, order: Order) -> bool:
         with self.state.lock:
-            return self.core.may_order(order, now())
+            return self.core.may_send_order(order, now())
 
     def _read(self) -> None:
         with self.state.lock:
             self.core.observe(now())
-            asked_at = self.core.swap.generation
+            asked_at = self.core.served_versions.generation
         read = self.state.engine.versions()
         with self.state.work:
-            before = self.core.swap.verified()
+            before = self.core.served_versions.verified()
             self._take(read, asked_at)
-            after = self.core.swap.verified()
+            after = self.core.served_versions.verified()
             self.state.work.notify_all()
         if before != after:
             log_state("verified", before=before, after=after)
@@ -90,13 +90,15 @@
         :param asked_at: generation of the record at which it was asked
         """
         self.core.observe(now())
-        if self.core.swap.generation != asked_at:
-            log_state("read_back_old", asked_at=asked_at, generation=self.core.swap.generation)
+        if self.core.served_versions.generation != asked_at:
+            log_state(
+                "read_back_old", asked_at=asked_at, generation=self.core.served_versions.generation
+            )
             return
         if read is None:
-            self.core.swap.versions_read(self.core.swap.boot, {}, now())
+            self.core.served_versions.record_versions(self.core.served_versions.boot, {}, now())
         else:
-            self.core.swap.versions_read(read.boot, read.weights, now())
+            self.core.served_versions.record_versions(read.boot, read.weights, now())
 
 
 __all__ = ["Reconciler"]
--- a/src/threadramp/sidecar/resources.py
+++ b/src/threadramp/sidecar/resources.py
@@ -9,7 +9,7 @@
 import cherrypy
 import msgspec
 
-from threadramp.core.keys import Answer, Binding
+from threadramp.core.keys import Binding, EndpointResponse
 from threadramp.core.sidecar import CallRequest
 from threadramp.sidecar.calls import IncomingCall, Replayed
 from threadramp.sidecar.engine import CHAT_PATH, BrokenAnswerError, ChatRequest, NeverSentError
@@ -98,7 +98,7 @@
         target = f"{path}?{query}" if query else path
         return IncomingCall(request, request_id, method, target, header("Content-Type"), body)
 
-    def _answer(self, call: IncomingCall, result: Answer | Replayed | Refusal) -> bytes:
+    def _answer(self, call: IncomingCall, result: EndpointResponse | Replayed | Refusal) -> bytes:
         if isinstance(result, Refusal):
             self.state.metrics.count("refused", result.reason.value)
             return answer_refusal(result, self._echo(call))
--- a/src/threadramp/sidecar/rollouts.py
+++ b/src/threadramp/sidecar/rollouts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from threadramp.core.sidecar import Verdict
+from threadramp.core.sidecar import RolloutAction
 from threadramp.report.guard import start_loop
 from threadramp.sidecar.engine import BrokenAnswerError, ChatRequest, NeverSentError
 from threadramp.sidecar.state import now
@@ -58,25 +58,25 @@
 
     def _run(self, task: SampleTask) -> None:
         whole = False
-        verdict = Verdict.STOP
+        verdict = RolloutAction.STOP
         try:
             verdict = self._stream(task)
-            whole = verdict is Verdict.GO_ON
+            whole = verdict is RolloutAction.CONTINUE
         except (BrokenAnswerError, NeverSentError) as error:
             self.state.metrics.count("rollout_broken", str(error))
             threading.Event().wait(FAILURE_PAUSE_S)
         finally:
             with self.state.lock:
-                paused = verdict is Verdict.PAUSE
+                paused = verdict is RolloutAction.PAUSE
                 self.state.admit(self.core.end_rollout(task, whole, paused, now()))
 
-    def _stream(self, task: SampleTask) -> Verdict:
-        """Run a sample; return ``GO_ON`` if it came to its end whole."""
+    def _stream(self, task: SampleTask) -> RolloutAction:
+        """Run a sample; return ``CONTINUE`` if it came to its end whole."""
         since = now()
         named = self._names_versions()
         before = None if named else self._read_mark(task)
         if not named and before is None:
-            return Verdict.STOP
+            return RolloutAction.STOP
         request_id = f"{task.spec.sample}#{task.spec.attempt}.{task.run_id}"
         chat = ChatRequest(
             request_id,
@@ -90,23 +90,25 @@
         for chunk in self.state.engine.stream(chat.to_bytes(), request_id):
             version = chunk.weight_version if named else before.version
             verdict = self._take_piece(task, chunk, version, since)
-            if verdict is Verdict.PAUSE and not named and self._read_mark(task) != before:
-                verdict = Verdict.STOP  # what it has so far has no sure label
-            if verdict is not Verdict.GO_ON:
+            if verdict is RolloutAction.PAUSE and not named and self._read_mark(task) != before:
+                verdict = RolloutAction.STOP  # what it has so far has no sure label
+            if verdict is not RolloutAction.CONTINUE:
                 return verdict
         if not named and self._read_mark(task) != before:
             self.state.metrics.count("label_unsure", task.model)
-            return Verdict.STOP
-        return Verdict.GO_ON
+            return RolloutAction.STOP
+        return RolloutAction.CONTINUE
 
     def _take_piece(
         self, task: SampleTask, chunk: Chunk, version: int | None, since: float
-    ) -> Verdict:
+    ) -> RolloutAction:
         with self.state.lock:
             verdict = self.core.rollout_piece(task, chunk.text, chunk.tokens, version, since)
-            if version is None or not self.core.swap.is_possible(task.model, version, since):
-                self.core.swap.distrust(now())
-        if verdict is Verdict.PAUSE:
+            if version is None or not self.core.served_versions.may_have_served(
+                task.model, version, since
+            ):
+                self.core.served_versions.invalidate(now())
+        if verdict is RolloutAction.PAUSE:
             self.state.metrics.count("rollout_paused", task.model)
         return verdict
 
@@ -118,7 +120,7 @@
     def _read_mark(self, task: SampleTask) -> ServedMark | None:
         """Read back what the engine serves, together with its start mark."""
         with self.state.lock:
-            generation = self.core.swap.generation
+            generation = self.core.served_versions.generation
         read = self.state.engine.versions()
         version = None if read is None else read.weights.get(task.model)
         if version is None:
--- a/tests/core/test_call.py
+++ b/tests/core/test_call.py
@@ -6,7 +6,7 @@
 import pytest
 
 from threadramp.config.resources import Endpoint
-from threadramp.core.call import Call, CallMachine, Failure, Finish, Send
+from threadramp.core.call import Call, CallStateMachine, Failure, Finish, Send
 from threadramp.core.keys import Binding
 from threadramp.core.membership import Member
 from threadramp.policy.retries import RetryBudget
@@ -25,9 +25,9 @@
     return Member(f"e{index}", spec, report, 1.0)
 
 
-def machine(call: Call, members: int = 2, budget: RetryBudget | None = None) -> CallMachine:
+def machine(call: Call, members: int = 2, budget: RetryBudget | None = None) -> CallStateMachine:
     held = [member(index) for index in range(members)]
-    return CallMachine(
+    return CallStateMachine(
         call, lambda _: held, lambda _: held, RoundRobin(Random(1)), budget or RetryBudget(), {}
     )
 
--- a/tests/core/test_chain.py
+++ b/tests/core/test_chain.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
 from threadramp.wire.messages import Change
 
 EXAMPLES = 150
@@ -14,8 +14,8 @@
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 30), st.booleans()), max_size=60))
 @settings(max_examples=EXAMPLES, deadline=None)
 def test_no_copy_of_the_chain_ever_falls_or_differs(exchanges) -> None:
-    writer = Chain()
-    copies = [Chain() for _ in range(3)]
+    writer = ConfigurationChain()
+    copies = [ConfigurationChain() for _ in range(3)]
     for index, upto, by_snapshot in exchanges:
         if upto > writer.revision:
             change = Change(
@@ -38,7 +38,7 @@
 
 
 def test_kinds_can_be_read_while_another_thread_applies_changes() -> None:
-    chain = Chain()
+    chain = ConfigurationChain()
     done = threading.Event()
     errors = []
 
--- a/tests/core/test_marks.py
+++ b/tests/core/test_closed_steps.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadramp.core.marks import StepMarks
+from threadramp.core.closed_steps import ClosedSteps
 from threadramp.wire.messages import StepKey, StepMark
 
 EXAMPLES = 150
@@ -12,7 +12,7 @@
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 40), st.integers(0, 2)), max_size=60))
 @settings(max_examples=EXAMPLES, deadline=None)
 def test_a_closed_step_never_opens(events) -> None:
-    peers = [StepMarks() for _ in range(3)]
+    peers = [ClosedSteps() for _ in range(3)]
     closed: list[set[int]] = [set(), set(), set()]
     for index, step, other in events:
         peers[index].close(StepKey("t", "r", step))
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -4,12 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadramp.core.keys import Answer, Binding, KeyTable, Replay, Run, Wait
+from threadramp.core.keys import Binding, EndpointResponse, KeyTable, Replay, Run, Wait
 from threadramp.wire.outcomes import Outcome, Reason, Refusal
 
 EXAMPLES = 150
 WINDOW_S = 80.0  # an epoch is ten seconds
-ANSWER = Answer(200, "text/plain", b"done")
+ANSWER = EndpointResponse(200, "text/plain", b"done")
 
 
 @pytest.fixture
--- a/tests/core/test_lot_book.py
+++ b/tests/core/test_lot_tracker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.core.lot_book import LotBook, LotRules, Phase, RunOutcome
+from threadramp.core.lot_tracker import LotRules, LotTracker, Phase, RunOutcome
 from threadramp.lots.model import Lot, ResultState, Reward, Sample
 
 REWARD = Reward("reward", "scores.example", "/score/", b"x")
@@ -14,18 +14,18 @@
     return Sample(name, f"/run/{name}", (), b"prompt", 500, group, reward, expected)
 
 
-def make_book(*samples: Sample, min_version: int = 1, one_version: bool = False) -> LotBook:
+def make_book(*samples: Sample, min_version: int = 1, one_version: bool = False) -> LotTracker:
     lot = Lot("lot", "models.example", "/run/", 0, "m", min_version, 1, samples)
-    return LotBook(lot, LotRules(3, one_version, due=7.5, give_up_at=40.0))
+    return LotTracker(lot, LotRules(3, one_version, due=7.5, give_up_at=40.0))
 
 
-def start(book: LotBook, sample: str, runner: str, lineage: str = "L1") -> None:
+def start(book: LotTracker, sample: str, runner: str, lineage: str = "L1") -> None:
     book.assign(sample, runner)
     assert book.accepted(sample, runner, lineage)
 
 
 @pytest.fixture
-def book() -> LotBook:
+def book() -> LotTracker:
     return make_book(make_sample("a", "g"), make_sample("b", "g", expected=900))
 
 
@@ -36,7 +36,7 @@
 def test_a_sample_goes_from_text_to_score_to_position(book):
     start(book, "a", "s1")
     assert book.add_events("a", "s1", 0, ["x", "y"], [3, 4], "L1")
-    assert book.run_ended("a", "s1", RunOutcome.WHOLE, 1.0) is Phase.SCORING
+    assert book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0) is Phase.SCORING
     assert book.scored("a", "signature", 1.1)
     assert book.next_chunk(1.2) == ()  # its group is not whole and it waited for 0.1 s only
     chunk = book.next_chunk(1.5)
@@ -50,7 +50,7 @@
     book = make_book(make_sample("a", "g", reward=None))
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x"], [1], "L1")
-    book.run_ended("a", "s1", RunOutcome.WHOLE, 1.0)
+    book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0)
     assert [result.sample for result in book.next_chunk(1.0)] == ["a"]
     assert book.next_chunk(1.0) == ()  # one append at a time
     book.append_failed()
@@ -70,10 +70,10 @@
 def test_no_event_is_taken_before_the_new_sidecar_said_which_text_it_goes_on_with(book):
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["1"], [1], "L1")
-    book.give_back("a", "s1", 0.0)
+    book.return_to_queue("a", "s1", 0.0)
     book.assign("a", "s1")
     assert not book.add_events("a", "s1", 1, ["2 of the earlier run"], [1], "L1")
-    assert book.at_runner("s1") == {}
+    assert book.event_counts_at("s1") == {}
     assert book.accepted("a", "s1", "L1")
     assert book.add_events("a", "s1", 1, ["2"], [1], "L1")
 
@@ -90,7 +90,7 @@
     book = make_book(make_sample("a", "g"), min_version=2)
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x"], [1], "L1")
-    assert book.run_ended("a", "s1", RunOutcome.WHOLE, 1.0) is Phase.WAITING
+    assert book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0) is Phase.WAITING
     assert book.states["a"].events == []
 
 
@@ -98,7 +98,7 @@
     book = make_book(make_sample("a", "g"), one_version=True)
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x", "y"], [1, 2], "L1")
-    assert book.run_ended("a", "s1", RunOutcome.WHOLE, 1.0) is Phase.WAITING
+    assert book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0) is Phase.WAITING
 
 
 def test_a_sample_is_given_up_after_as_many_failures_as_allowed(book):
@@ -128,18 +128,18 @@
     assert book.end() == ["a"]
     assert book.waiting(0.0) == []
     assert book.next_chunk(99.0) == ()
-    assert book.give_up_late(99.0) == []
+    assert book.give_up_overdue(99.0) == []
 
 
 def test_samples_are_given_up_only_after_their_time(book):
-    assert book.give_up_late(39.9) == []
-    assert sorted(book.give_up_late(40.0)) == ["a", "b"]
+    assert book.give_up_overdue(39.9) == []
+    assert sorted(book.give_up_overdue(40.0)) == ["a", "b"]
 
 
 def test_a_score_that_fails_as_often_as_allowed_ends_the_sample(book):
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x"], [1], "L1")
-    book.run_ended("a", "s1", RunOutcome.WHOLE, 1.0)
+    book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0)
     assert not book.score_failed("a", 1.0, 2)
     assert book.score_failed("a", 1.0, 2)
     assert book.states["a"].result.state is ResultState.DEAD
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -16,7 +16,7 @@
 def membership() -> Membership:
     made = Membership()
     made.declare({"e": SPEC})
-    made.heard("e", REPORT, now=10.0)
+    made.record_report("e", REPORT, now=10.0)
     return made
 
 
@@ -32,24 +32,24 @@
 
 
 def test_any_one_word_of_leaving_is_enough(membership: Membership) -> None:
-    membership.boxes_leave(frozenset({"127.0.0.1"}))
+    membership.set_leaving_boxes(frozenset({"127.0.0.1"}))
     assert not is_available(membership)
-    membership.boxes_leave(frozenset())
+    membership.set_leaving_boxes(frozenset())
     membership.declare({"e": replace(SPEC, drain=True)})
     assert not is_available(membership)
     membership.declare({"e": SPEC})
     leaving = EndpointReport("e", "i", 1, 0, True, 8, 0, 0, 0, {})
-    membership.heard("e", leaving, now=11.0)
+    membership.record_report("e", leaving, now=11.0)
     assert not is_available(membership)
 
 
 def test_missed_beats_and_old_reports_do_not_count(membership: Membership) -> None:
     assert not is_available(membership, oldest=10.5)
-    membership.missed("e")
+    membership.record_missed_heartbeat("e")
     assert is_available(membership)
-    membership.missed("e")
+    membership.record_missed_heartbeat("e")
     assert not is_available(membership)
-    membership.heard("e", REPORT, now=12.0)
+    membership.record_report("e", REPORT, now=12.0)
     assert is_available(membership)
 
 
--- a/tests/core/test_samples.py
+++ b/tests/core/test_samples.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadramp.core.marks import StepMarks
+from threadramp.core.closed_steps import ClosedSteps
 from threadramp.core.progress import SampleProgress
 from threadramp.core.samples import SampleBuffer
 from threadramp.core.step import StepAssembly
@@ -51,21 +51,21 @@
     key = StepKey("t", "r", 0)
     names = [f"s{index}" for index in range(5)]
     assembly = make_assembly(key, 1, names)
-    buffers = [SampleBuffer(StepMarks()) for _ in range(3)]
+    buffers = [SampleBuffer(ClosedSteps()) for _ in range(3)]
     tasks: list[list] = [[], [], []]
     delivered: list[str] = []
     version = 1
     now = 0.0
 
     def exchange(lost: int) -> None:
-        for name, poll in assembly.polls(0, now).items():
+        for name, poll in assembly.next_polls(0, now).items():
             index = int(name[1:])
             reply = buffers[index].poll(poll, takes_work=True, now=now)
             assert isinstance(reply, StepPollReply)
             if index == lost:
-                assembly.missed(name)
+                assembly.record_missed_poll(name)
                 continue
-            for delivery in assembly.replied(name, reply, now):
+            for delivery in assembly.handle_reply(name, reply, now):
                 assert delivery.payload.oldest >= assembly.oldest_allowed
                 delivered.append(delivery.payload.sample)
 
@@ -86,11 +86,11 @@
         elif kind == "finish":
             run_all(index)
         elif kind == "restart":
-            buffers[index] = SampleBuffer(StepMarks())
+            buffers[index] = SampleBuffer(ClosedSteps())
             tasks[index].clear()
         elif kind == "publish" and pick == 0:
             version += 1
-            assembly.require(version)
+            assembly.raise_oldest_allowed(version)
             for withdrawn in assembly.take_withdrawals():
                 delivered.remove(withdrawn.sample)
         assert len(delivered) == len(set(delivered))
@@ -104,6 +104,6 @@
     for buffer in buffers:
         buffer.close(CloseStep(key, assembly.lot_digest()))
     again = make_assembly(key, 2, names)
-    for name, poll in again.polls(0, now).items():
+    for name, poll in again.next_polls(0, now).items():
         reply = buffers[int(name[1:])].poll(poll, takes_work=True, now=now)
         assert reply.reason == Reason.ALREADY_DELIVERED.value
--- a/tests/core/test_swap.py
+++ b/tests/core/test_served_versions.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from threadramp.core.swap import Order, ReadVersions, SwapRecord
+from threadramp.core.served_versions import Order, ReadVersions, ServedVersions
 
 EXAMPLES = 150
 
@@ -21,7 +21,7 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 def test_what_is_called_verified_was_served_when_it_was_read(events) -> None:
     """An engine that swaps, fails and restarts at any moment; the record follows it."""
-    record = SwapRecord(started_ms=1)
+    record = ServedVersions(started_ms=1)
     engine: int | None = None
     boot = "b0"
     read: int | None = None
@@ -36,19 +36,19 @@
             engine = 0
             boot += "x"
         if kind == "frozen":
-            record.lost_time(now)
+            record.record_freeze(now)
             assert record.verified() == {}
-        for action in record.due({"m": declared}, declared, now):
+        for action in record.next_actions({"m": declared}, declared, now):
             if isinstance(action, ReadVersions):
-                record.versions_read(boot, {"m": engine}, now)
+                record.record_versions(boot, {"m": engine}, now)
                 read = engine
             if isinstance(action, Order):
-                assert action.fence >= highest_fence
-                highest_fence = action.fence
-                record.order_sent(action, now)
+                assert action.fencing_token >= highest_fence
+                highest_fence = action.fencing_token
+                record.record_order_sent(action, now)
                 assert not record.may_start("m", names_versions=False)
                 engine = None if kind == "failed" else action.version
-                record.order_ended("m", kind != "failed", now)
+                record.record_order_result("m", kind != "failed", now)
                 assert record.verified() == {}  # only a read-back verifies
         if record.verified():
             assert record.verified() == {"m": read}
--- a/tests/core/test_sidecar_orders.py
+++ b/tests/core/test_sidecar_orders.py
@@ -5,8 +5,8 @@
 import pytest
 
 from threadramp.config.settings import SidecarSettings
+from threadramp.core.served_versions import REVISION_SHIFT, Order, ReadVersions
 from threadramp.core.sidecar import SidecarCore
-from threadramp.core.swap import REVISION_SHIFT, Order, ReadVersions
 from threadramp.wire.messages import Change, SyncRequest
 
 ADDRESS = "127.0.0.1:1"
@@ -41,9 +41,9 @@
     found = []
     at = begun
     while at < ended:
-        for action in core.orders_due(at):
+        for action in core.next_engine_actions(at):
             if isinstance(action, ReadVersions):
-                core.swap.versions_read("boot", {"m": None}, at)
+                core.served_versions.record_versions("boot", {"m": None}, at)
             else:
                 found.append(action)
         at += STEP_S
@@ -65,21 +65,21 @@
     beat(core, BEGUN)
     first = orders(core, BEGUN, BEGUN + 2.0)[0]
     newer = (4 << REVISION_SHIFT) + 1
-    core.swap.order_sent(first, BEGUN + 2.0)
-    core.swap.order_ended("m", False, BEGUN + 2.0, newer)
+    core.served_versions.record_order_sent(first, BEGUN + 2.0)
+    core.served_versions.record_order_result("m", False, BEGUN + 2.0, newer)
     assert orders(core, BEGUN + 2.0, BEGUN + 5.0) == []
     beat(core, BEGUN + 5.0)
-    assert {order.fence for order in orders(core, BEGUN + 5.0, BEGUN + 7.0)} == {newer}
+    assert {order.fencing_token for order in orders(core, BEGUN + 5.0, BEGUN + 7.0)} == {newer}
 
 
 def test_a_number_of_the_same_revision_is_taken_over_at_once(core) -> None:
     """The clock of the box of an earlier process was ahead; its news is no newer."""
     beat(core, BEGUN)
     first = orders(core, BEGUN, BEGUN + 2.0)[0]
-    ahead = first.fence + 1000
-    core.swap.order_sent(first, BEGUN + 2.0)
-    core.swap.order_ended("m", False, BEGUN + 2.0, ahead)
-    assert {order.fence for order in orders(core, BEGUN + 2.0, BEGUN + 4.0)} == {ahead}
+    ahead = first.fencing_token + 1000
+    core.served_versions.record_order_sent(first, BEGUN + 2.0)
+    core.served_versions.record_order_result("m", False, BEGUN + 2.0, ahead)
+    assert {order.fencing_token for order in orders(core, BEGUN + 2.0, BEGUN + 4.0)} == {ahead}
 
 
 def test_what_lay_here_during_a_standstill_is_no_news(core) -> None:
--- a/tests/core/test_step.py
+++ b/tests/core/test_step.py
@@ -43,16 +43,16 @@
     def exchange(self, now: float, silent: str = "") -> dict[str, list[str]]:
         """Exchange once; return the first attempts and later ones that were submitted."""
         submitted = {}
-        for name, poll in self.step.polls(0, now).items():
+        for name, poll in self.step.next_polls(0, now).items():
             self.asked += 1
             if name == silent:
-                self.step.missed(name)
+                self.step.record_missed_poll(name)
                 continue
             submitted[name] = [spec.sample for spec in poll.submit]
             self.held[name] += submitted[name]
             tokens = round(self.rates.get(name, 100) * now)  # none yet at the start
             statuses = [RunningStatus(sample, 1, tokens, 1) for sample in self.held[name]]
-            self.step.replied(name, StepPollReply(running=tuple(statuses)), now)
+            self.step.handle_reply(name, StepPollReply(running=tuple(statuses)), now)
         return submitted
 
 
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
 from threadramp.core.head import HEAD_KEY, MAX_HEAD_CHANGES, Head
 from threadramp.gateway.configuration import Configuration, Edit
 from threadramp.platform.kv import KvUnavailableError, KvValue, KvWrite
@@ -41,7 +41,7 @@
 
 
 def gateway(kv: FakeKv) -> Configuration:
-    return Configuration(Chain(), kv, lambda: None, threading.RLock())
+    return Configuration(ConfigurationChain(), kv, lambda: None, threading.RLock())
 
 
 def rank(made: Configuration, number: int, expected: int | None = None) -> int:
--- a/tests/gateway/test_organisation_keys.py
+++ b/tests/gateway/test_organisation_keys.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
 from threadramp.fleet.organisations import digest
 from threadramp.gateway.organisation_keys import OrganisationKeys
 from threadramp.wire.messages import Change
@@ -14,7 +14,7 @@
 
 
 def test_holders_follow_the_declared_resources():
-    chain = Chain()
+    chain = ConfigurationChain()
     keys = OrganisationKeys(chain)
     assert keys.holder(b"k1") is None
     chain.apply([declared(1, "acme", "k1", "k2"), declared(2, "rival", "k3")])
@@ -26,6 +26,6 @@
 
 
 def test_a_key_of_two_is_nobodys():
-    chain = Chain()
+    chain = ConfigurationChain()
     chain.apply([declared(1, "acme", "k1"), declared(2, "rival", "k1")])
     assert OrganisationKeys(chain).holder(b"k1") is None
--- a/tests/gateway/test_sender.py
+++ b/tests/gateway/test_sender.py
@@ -7,7 +7,7 @@
 
 from tests.stuttering import LATE, SOON, Stutterer, header_of, response
 from threadramp.core.call import Failure
-from threadramp.core.keys import Answer
+from threadramp.core.keys import EndpointResponse
 from threadramp.gateway import sender as sender_module
 from threadramp.gateway.sender import Outgoing, Sender
 from threadramp.wire import headers
@@ -68,7 +68,7 @@
         if result is Failure.BROKEN:
             broken.append(f"r{number}")
         else:
-            assert result == Answer(200, "", f"r{number}".encode())
+            assert result == EndpointResponse(200, "", f"r{number}".encode())
     assert broken
     assert [(kind, fields["request"]) for kind, fields in logged] == [
         ("answer_not_own", name) for name in broken
--- a/tests/lots/test_checkpoints.py
+++ b/tests/lots/test_checkpoints.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.core.test_lot_book import make_book, make_sample, start
+from tests.core.test_lot_tracker import make_book, make_sample, start
 from threadramp.lots.checkpoints import Checkpoints, joined
 from threadramp.lots.model import KeptHead, LotHead, SavedText
 from threadramp.lots.owned import OwnedLot, OwnedLots
@@ -55,7 +55,7 @@
     made = checkpoints(store, lot)
     grow(lot, 40)
     made.save(lot)
-    lot.book._start_over(lot.book.states["a"], 0.0)
+    lot.book._restart(lot.book.states["a"], 0.0)
     start(lot.book, "a", "s1")
     grow(lot, 30)
     made.save(lot)
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from tests.core.test_lot_book import make_book, make_sample
+from tests.core.test_lot_tracker import make_book, make_sample
 from threadramp.fleet.peers import Peers
 from threadramp.fleet.picture import Member, Picture
 from threadramp.fleet.store_health import StoreHealth
@@ -24,12 +24,12 @@
 from threadramp.wire.fleet import Done, EndKept, LotEnded
 
 if TYPE_CHECKING:
-    from threadramp.core.lot_book import LotBook
+    from threadramp.core.lot_tracker import LotTracker
 
 HEAD = LotHead("g1", "1", 0.0, 7.5, 40.0, 3, False, 3, 0, 0, 0, False, "")
 
 
-def book_of(names: str) -> LotBook:
+def book_of(names: str) -> LotTracker:
     """Return the book of a lot with one sample for each letter."""
     return make_book(*[make_sample(name, "g") for name in names])
 
--- a/tests/lots/test_hurrying.py
+++ b/tests/lots/test_hurrying.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.core.test_lot_book import make_book, make_sample, start
+from tests.core.test_lot_tracker import make_book, make_sample, start
 from tests.policy.test_moves import view
 from threadramp.fleet.picture import Member
 from threadramp.lots.hurrying import AGAIN_S, HurriedLoads
--- a/tests/lots/test_moving.py
+++ b/tests/lots/test_moving.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from tests.core.test_lot_book import make_book, make_sample, start
+from tests.core.test_lot_tracker import make_book, make_sample, start
 from tests.policy.test_moves import view
-from threadramp.core.lot_book import Phase
+from threadramp.core.lot_tracker import Phase
 from threadramp.lots.model import KeptHead
 from threadramp.lots.moving import SampleMoves
 from threadramp.lots.owned import OwnedLot, OwnedLots
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tests.core.test_lot_book import make_book, make_sample
+from tests.core.test_lot_tracker import make_book, make_sample
 from threadramp.fleet.peers import Peers
 from threadramp.fleet.picture import Member, Picture
 from threadramp.fleet.store_health import StoreHealth
--- a/tests/runner/test_interleaving.py
+++ b/tests/runner/test_interleaving.py
@@ -13,8 +13,8 @@
 import pytest
 
 from tests.conftest import FakeClock
-from tests.core.test_lot_book import make_book, make_sample
-from threadramp.core.lot_book import Phase, RunOutcome
+from tests.core.test_lot_tracker import make_book, make_sample
+from threadramp.core.lot_tracker import Phase, RunOutcome
 from threadramp.runner.runs import RunTable
 from threadramp.wire.runner import RunOrder
 
@@ -52,7 +52,7 @@
             if run.generation != generation or not run.is_open:
                 self.runs.remove((run, generation, name))
             elif run.event_count == LENGTH:
-                self.table.finish(run, generation, RunOutcome.WHOLE)
+                self.table.finish(run, generation, RunOutcome.COMPLETE)
             elif random.random() < 0.05:
                 self.table.finish(
                     run, generation, random.choice([RunOutcome.CUT, RunOutcome.FAILED])
@@ -88,16 +88,16 @@
             )  # fmt: skip
             self.book.assign(name, engine.name)
             if self.random.random() < 0.1:  # the request was lost
-                self.book.give_back(name, engine.name, 0.0)
+                self.book.return_to_queue(name, engine.name, 0.0)
                 continue
             taken = engine.table.submit((order,))
             if name not in taken or self.random.random() < 0.1:  # refused, or the reply was lost
-                self.book.give_back(name, engine.name, 0.0)
+                self.book.return_to_queue(name, engine.name, 0.0)
             else:
                 self.book.accepted(name, engine.name, taken[name])
 
     def poll(self, engine: Engine) -> None:
-        reply = engine.table.collect(self.book.at_runner(engine.name), 0.0, lambda: True)
+        reply = engine.table.collect(self.book.event_counts_at(engine.name), 0.0, lambda: True)
         self.in_flight.append((engine.name, reply))
 
     def receive(self) -> None:
@@ -111,10 +111,10 @@
             )
             if added and update.outcome:
                 self.book.run_ended(update.sample, runner, RunOutcome(update.outcome), 0.0)
-            elif not added and update.sample in self.book.at_runner(runner):
-                self.book.give_back(update.sample, runner, 0.0)
+            elif not added and update.sample in self.book.event_counts_at(runner):
+                self.book.return_to_queue(update.sample, runner, 0.0)
         for sample in unknown:
-            self.book.give_back(sample, runner, 0.0)
+            self.book.return_to_queue(sample, runner, 0.0)
 
 
 def check_text(events: list[str], resumed_at: dict[str, int]) -> None:
@@ -152,7 +152,7 @@
         elif action < 0.69:
             engine.restart()
         elif action < 0.72:
-            engine.table.drop(gateway.book.at_runner(engine.name), let_finish=False)
+            engine.table.drop(gateway.book.event_counts_at(engine.name), let_finish=False)
         else:
             engine.start()
             engine.produce(random)
--- a/tests/runner/test_reused_ids.py
+++ b/tests/runner/test_reused_ids.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.runner.test_runs import order
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.fleet.clock import Clock
 from threadramp.lots.model import Sample
 from threadramp.runner.runs import RunTable
@@ -26,7 +26,7 @@
     run = table.next_start()
     for number in range(3):
         table.add_event(run, run.generation, f"text-{number}", 1)
-    table.finish(run, run.generation, RunOutcome.WHOLE)
+    table.finish(run, run.generation, RunOutcome.COMPLETE)
     model = dict(other.headers)["X-Model"]
     table.submit((order("a", sample=other, model=model),))
     updates, _ = table.collect({"a": 0}, 0.0, lambda: None)
--- a/tests/runner/test_runs.py
+++ b/tests/runner/test_runs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.lots.model import Sample
 from threadramp.runner.runs import STALL_TIMEOUT_S, RunTable
 from threadramp.wire.runner import RunOrder
@@ -87,7 +87,7 @@
     (update,), unknown = collect_updates(table, a=1)
     assert (update.base, update.events, update.versions) == (1, ("y",), (2,))
     assert (update.outcome, unknown) == ("", [])
-    table.finish(run, run.generation, RunOutcome.WHOLE)
+    table.finish(run, run.generation, RunOutcome.COMPLETE)
     (update,), _ = collect_updates(table, a=2)
     assert (update.events, update.outcome) == ((), "whole")
 
@@ -174,7 +174,7 @@
 
 def test_text_is_deleted_after_a_while(table, clock):
     (run,) = begin(table, order("a"))
-    table.finish(run, run.generation, RunOutcome.WHOLE)
+    table.finish(run, run.generation, RunOutcome.COMPLETE)
     clock.at += 46.0
     table.submit(())
     assert table.runs == {}
@@ -221,5 +221,5 @@
     table.submit((order("a"),))
     assert run.is_open
     assert not table.add_event(run, generation, "2", 1)
-    assert not table.finish(run, generation, RunOutcome.WHOLE)
+    assert not table.finish(run, generation, RunOutcome.COMPLETE)
     assert run.is_open
--- a/tests/runner/test_sample_run.py
+++ b/tests/runner/test_sample_run.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.runner.test_runs import order
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.fleet.clock import Clock
 from threadramp.lots.model import Sample
 from threadramp.platform.standins.stuttering import Moment, Second, Stutter
@@ -14,7 +14,7 @@
 from threadramp.runner.runs import RunTable
 from threadramp.runner.sample_run import SampleRun
 
-FINISHED = (RunOutcome.WHOLE, RunOutcome.CUT)
+FINISHED = (RunOutcome.COMPLETE, RunOutcome.CUT)
 
 
 @pytest.fixture
@@ -67,5 +67,5 @@
 
 def test_samples_reuse_a_connection(proxy, run_one):
     for name in "abc":
-        assert run_one(name).outcome is RunOutcome.WHOLE
+        assert run_one(name).outcome is RunOutcome.COMPLETE
     assert proxy.opened == 1
--- a/tests/sidecar/test_engine.py
+++ b/tests/sidecar/test_engine.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.stuttering import LATE, SOON, SOON_S, Stutterer, header_of, response
-from threadramp.core.swap import Order
+from threadramp.core.served_versions import Order
 from threadramp.sidecar import engine as engine_module
 from threadramp.sidecar.engine import (
     CONNECT_TIMEOUT_S,
--- a/tests/sidecar/test_reconciler.py
+++ b/tests/sidecar/test_reconciler.py
@@ -12,8 +12,8 @@
 
 from tests.stuttering import LATE, Stutterer, response
 from threadramp.config.settings import SidecarSettings
+from threadramp.core.served_versions import ModelState
 from threadramp.core.sidecar import SidecarCore
-from threadramp.core.swap import ModelState
 from threadramp.sidecar.engine import EngineClient, EngineVersions
 from threadramp.sidecar.reconciler import Reconciler
 from threadramp.sidecar.state import SidecarState, now
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.core.swap import Order
+    from threadramp.core.served_versions import Order
 
 PATIENCE_S = 10.0
 LOOK_S = 0.01
@@ -97,7 +97,7 @@
     state.core.handle(SyncRequest("gateway", state.core.chain.revision), now())
     engine.on_order = lambda: declare(state, "weights", "b", {"version": 2})
     with state.lock:
-        state.core.swap.next_read = now() + PATIENCE_S  # both orders are due at once
+        state.core.served_versions.next_read = now() + PATIENCE_S  # both orders are due at once
     start()
     wait_until(lambda: engine.weights == {"a": 1, "b": 2})
     assert engine.orders == [("a", 1), ("b", 2)]
@@ -119,7 +119,7 @@
             return
         engine.weights = {"a": None, "b": None}
         with state.lock:
-            state.core.freeze.last -= STOOD_STILL_S
+            state.core.freeze.last_observed_at -= STOOD_STILL_S
             if seen:
                 state.core.observe(now())
 
@@ -128,7 +128,7 @@
     start()
     wait_until(lambda: engine.reads > 1)
     with state.lock:
-        verified.append(state.core.swap.verified())
+        verified.append(state.core.served_versions.verified())
     answered.set()
     assert verified == [{}]
 
@@ -147,7 +147,7 @@
 
     def slowly(connection: HTTPConnection) -> None:
         with state.lock:
-            ordered = state.core.swap.models.get("a", ModelState()).ordered
+            ordered = state.core.served_versions.models.get("a", ModelState()).ordered
         if ordered == 1:
             declare(state, "weights", "a", {"version": 2})
         connect(connection)
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -158,7 +158,7 @@
     Removal.of_one(
         "verification of swaps",
         "swaps_fail_partway",
-        "src/threadramp/core/swap.py",
+        "src/threadramp/core/served_versions.py",
         "        return state.verified != version\n",
         "        return state.verified != version and state.backoff_s < 0.3\n",
     ),
