--- a/src/threadramp/core/__init__.py
+++ b/src/threadramp/core/__init__.py
@@ -1,1 +1,1 @@
-"""State machines without I/O, clock or threads."""
+"""State machines without I/O, clocks or threads: callers pass in events and the current time."""
--- a/src/threadramp/core/admission.py
+++ b/src/threadramp/core/admission.py
@@ -1,4 +1,4 @@
-"""Slots of one endpoint: who runs, who waits, who is refused, which rollouts give way."""
+"""Slots of one endpoint: admission, queueing and refusal of calls, and pausing of rollouts."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 from threadramp.wire.outcomes import DEFAULT_RETRY_AFTER_S, Reason, Refusal
 
 INITIAL_SERVICE_S = 0.05
-SERVICE_WEIGHT = 0.1  # of the newest call in the mean service time
+SERVICE_WEIGHT = 0.1  # weight of the newest call in the exponential moving average
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """The call runs now."""
+    """Decision: the call runs now."""
 
 
 @dataclass(frozen=True)
 class Queued:
-    """The call waits for a slot."""
+    """Decision: the call waits for a slot."""
 
 
 @dataclass(frozen=True)
-class Waiting:
+class QueuedCall:
     """A call in the queue.
 
-    :param deadline: monotonic time by which its answer is due
+    :param rank: of its priority; lower ranks are served first
+    :param deadline: monotonic time by which its response is due
     """
 
     call: str
@@ -37,8 +38,11 @@
 class Admission:
     """Counts calls and rollouts against the slots of one endpoint.
 
-    :param slots: how many run at once
-    :param max_queue: how many calls may wait
+    :param slots: maximum number of calls and rollouts that run at once
+    :param max_queue: maximum number of calls in the queue
+    :param reserve: decides how many slots rollouts leave free for calls
+    :ivar running: start time of each running call
+    :ivar rollouts: number of running rollouts
     """
 
     def __init__(self, slots: int, max_queue: int, reserve: ReservePolicy) -> None:
@@ -46,55 +50,61 @@
         self.max_queue = max_queue
         self.reserve = reserve
         self.running: dict[str, float] = {}
-        self.queue: deque[Waiting] = deque()
+        self.queue: deque[QueuedCall] = deque()
         self.rollouts = 0
-        self.service_s = INITIAL_SERVICE_S
+        self.mean_service_s = INITIAL_SERVICE_S
 
     def offer(
         self, call: str, rank: int, deadline: float, now: float
     ) -> Admitted | Queued | Refusal:
-        """Decide on a call that has arrived."""
+        """Admit, queue or refuse a call that has arrived."""
         self.reserve.arrived(now)
         if deadline <= now:
-            return Refusal.not_run(Reason.DEADLINE, "its deadline has passed")
-        if self._free() > 0 and not self.queue:
-            self._start(call, now)
+            return Refusal.not_run(Reason.DEADLINE, "the call's deadline has passed")
+        if self._free_slots() > 0 and not self.queue:
+            self._start_call(call, now)
             return Admitted()
         ahead = sum(1 for waiting in self.queue if waiting.rank <= rank)
         wait_s = self.expected_wait_s(ahead)
         if len(self.queue) >= self.max_queue or now + wait_s > deadline:
             retry_s = max(DEFAULT_RETRY_AFTER_S, round(wait_s))
-            return Refusal.not_run(Reason.OVERLOADED, "no slot before its deadline", retry_s)
-        self.queue.append(Waiting(call, rank, deadline))
+            return Refusal.not_run(
+                Reason.OVERLOADED,
+                "no slot is expected to be free before the call's deadline",
+                retry_s,
+            )
+        self.queue.append(QueuedCall(call, rank, deadline))
         return Queued()
 
     def finish(self, call: str, now: float) -> list[str]:
         """Free a call's slot.
 
-        :returns: the calls that were admitted into the room
+        :returns: the queued calls that were admitted in its place
         """
         started = self.running.pop(call, None)
         if started is not None:
-            self.service_s += SERVICE_WEIGHT * (now - started - self.service_s)
+            self.mean_service_s += SERVICE_WEIGHT * (now - started - self.mean_service_s)
         return self.admit_waiting(now)
 
-    def give_up(self, call: str) -> None:
-        """Take a call out of the queue."""
+    def remove_waiting(self, call: str) -> None:
+        """Remove a call from the queue."""
         self.queue = deque(waiting for waiting in self.queue if waiting.call != call)
 
     def admit_waiting(self, now: float) -> list[str]:
-        """Admit calls from the queue, best rank first, as far as there is room."""
+        """Admit queued calls, lowest rank first, while slots are free."""
         admitted = []
-        while self.queue and self._free() > 0:
+        while self.queue and self._free_slots() > 0:
             best = min(self.queue, key=lambda waiting: waiting.rank)
             self.queue.remove(best)
-            self._start(best.call, now)
+            self._start_call(best.call, now)
             admitted.append(best.call)
         return admitted
 
     def start_rollout(self, now: float) -> bool:
-        """Take a slot for a rollout if the calls leave one."""
-        if self.queue or self._free() <= self.reserve.slots(self.slots, len(self.running), now):
+        """Take a slot for a rollout if no call waits and more slots are free than are reserved."""
+        if self.queue or self._free_slots() <= self.reserve.slots(
+            self.slots, len(self.running), now
+        ):
             return False
         self.rollouts += 1
         return True
@@ -102,25 +112,25 @@
     def finish_rollout(self, now: float) -> list[str]:
         """Free a rollout's slot.
 
-        :returns: the calls that were admitted into the room
+        :returns: the queued calls that were admitted in its place
         """
         self.rollouts -= 1
         return self.admit_waiting(now)
 
     def rollouts_to_pause(self) -> int:
-        """Return how many running rollouts must give way to calls that wait."""
+        """Return how many running rollouts must be paused for queued calls."""
         return min(self.rollouts, len(self.queue))
 
     def expected_wait_s(self, ahead: int) -> float:
         """Return the expected wait behind ``ahead`` queued calls in seconds."""
         if self.rollouts > ahead:
-            return 0.0  # rollouts give way
-        return self.service_s * (ahead + 1) / self.slots
+            return 0.0  # enough rollouts can be paused
+        return self.mean_service_s * (ahead + 1) / self.slots
 
-    def _free(self) -> int:
+    def _free_slots(self) -> int:
         return self.slots - len(self.running) - self.rollouts
 
-    def _start(self, call: str, now: float) -> None:
+    def _start_call(self, call: str, now: float) -> None:
         self.running[call] = now
 
 
--- a/src/threadramp/core/burn.py
+++ b/src/threadramp/core/burn.py
@@ -1,4 +1,4 @@
-"""Service-level burn: good and bad events of each objective over several windows."""
+"""Error budget burn: good and bad events of each service level objective over time."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass
 class Bucket:
-    """Events of one short span of time."""
+    """Events of one span of ``BUCKET_S``."""
 
-    begun: float
+    started_at: float
     good: float = 0.0
     bad: float = 0.0
 
 
 class BurnPoint(msgspec.Struct, frozen=True):
-    """Events of one bucket, by its age.
+    """Events of one bucket.
 
-    :param age_s: seconds from its beginning until now
+    :param age_s: seconds from the bucket's start until now
     """
 
     age_s: float
@@ -34,7 +34,7 @@
 class ObjectiveRecord(msgspec.Struct, frozen=True):
     """One objective's events at one gateway.
 
-    :param target: share of events that should be good
+    :param target: target share of good events
     """
 
     name: str
@@ -45,7 +45,7 @@
 class BurnRecorder:
     """Counts events of all objectives.
 
-    :param targets: share of events that should be good, by objective
+    :param targets: target share of good events by objective
     """
 
     def __init__(self, targets: dict[str, float]) -> None:
@@ -53,23 +53,23 @@
         self.buckets: dict[str, deque[Bucket]] = {name: deque() for name in targets}
 
     def record(self, objective: str, good: float, bad: float, now: float) -> None:
-        """Count events."""
+        """Add events of one objective."""
         buckets = self.buckets[objective]
-        if not buckets or now - buckets[-1].begun >= BUCKET_S:
+        if not buckets or now - buckets[-1].started_at >= BUCKET_S:
             buckets.append(Bucket(now))
-        while now - buckets[0].begun > max(WINDOWS_S):
+        while now - buckets[0].started_at > max(WINDOWS_S):
             buckets.popleft()
         buckets[-1].good += good
         buckets[-1].bad += bad
 
     def records(self, now: float) -> tuple[ObjectiveRecord, ...]:
-        """Return all events by age."""
+        """Return the events of all objectives by age."""
         return tuple(
             ObjectiveRecord(
                 name,
                 target,
                 tuple(
-                    BurnPoint(now - bucket.begun, bucket.good, bucket.bad)
+                    BurnPoint(now - bucket.started_at, bucket.good, bucket.bad)
                     for bucket in self.buckets[name]
                 ),
             )
--- a/src/threadramp/core/chain.py
+++ b/src/threadramp/core/chain.py
@@ -1,4 +1,4 @@
-"""The configuration as a chain of revisions that only ever rises."""
+"""The configuration as a chain of changes whose revision never decreases."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-LOG_LENGTH = 512  # changes kept for peers that are behind; older ones cost them a snapshot
+LOG_LENGTH = 512  # changes kept for peers that are behind; peers further behind get a snapshot
 
 
 class ConfigurationChain:
     """One process's copy of the configuration.
 
-    :ivar revision: of the newest change applied, 0 at the start
-    :ivar resources: by kind and name
-    :ivar typed: the same as typed specifications
+    :ivar revision: revision of the newest applied change, 0 at the start
+    :ivar resources: resources by kind and name
+    :ivar typed: typed specifications by kind and name
     :ivar kinds: typed specifications by kind, then name; each inner table is replaced as a whole,
         so that another thread may read it without a lock
+    :ivar log: the newest changes, oldest first
     """
 
     def __init__(self) -> None:
@@ -32,18 +33,18 @@
         self.log: deque[Change] = deque(maxlen=LOG_LENGTH)
 
     def apply(self, changes: Iterable[Change]) -> bool:
-        """Apply the changes that come next, and pass over those already applied.
+        """Apply the changes that follow the current revision, and skip all others.
 
         :returns: whether the revision rose
         """
         before = self.revision
         for change in changes:
             if change.revision == self.revision + 1:
-                self._apply_one(change)
+                self._apply_change(change)
         return self.revision > before
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Take over a snapshot if it is newer than what is here.
+        """Replace the configuration by a snapshot if the snapshot is newer.
 
         :returns: whether the revision rose
         """
@@ -59,7 +60,7 @@
         return True
 
     def since(self, revision: int) -> tuple[Change, ...] | None:
-        """Return the changes after ``revision``, or none if the log no longer holds them all."""
+        """Return the changes after ``revision``, or none if the log lacks some of them."""
         if revision >= self.revision:
             return ()
         if not self.log or self.log[0].revision > revision + 1:
@@ -67,14 +68,14 @@
         return tuple(change for change in self.log if change.revision > revision)
 
     def update_for(self, revision: int) -> tuple[tuple[Change, ...], Snapshot | None]:
-        """Return what a peer at ``revision`` is missing: changes, or else a snapshot."""
+        """Return what a peer at ``revision`` lacks: changes, or a snapshot if the log is short."""
         changes = self.since(revision)
         if changes is not None:
             return changes, None
         return (), self.snapshot()
 
     def snapshot(self) -> Snapshot:
-        """Return the whole configuration."""
+        """Return the complete configuration."""
         entries = tuple(
             SnapshotEntry(item.kind, item.name, item.revision, item.spec)
             for _, item in sorted(self.resources.items())
@@ -82,14 +83,14 @@
         return Snapshot(self.revision, entries)
 
     def of_kind(self, kind: str) -> dict[str, Any]:
-        """Return the typed specifications of one kind by name; not to be changed."""
+        """Return the typed specifications of one kind by name; callers must not modify them."""
         return self.kinds.get(kind, {})
 
     def get(self, kind: str, name: str) -> Any | None:
         """Return one typed specification, or none."""
         return self.typed.get((kind, name))
 
-    def _apply_one(self, change: Change) -> None:
+    def _apply_change(self, change: Change) -> None:
         key = (change.kind, change.name)
         if change.spec is None:
             self.resources.pop(key, None)
@@ -106,7 +107,7 @@
     def _put(self, resource: Resource) -> None:
         key = (resource.kind, resource.name)
         self.resources[key] = resource
-        if resource.kind in KINDS:  # a kind of a later release is kept and passed on untyped
+        if resource.kind in KINDS:  # a kind of a later release is stored and passed on untyped
             result = check_spec(resource.kind, resource.name, resource.spec)
             if result.is_ok():
                 self.typed[key] = result.ok
--- a/src/threadramp/core/closed_steps.py
+++ b/src/threadramp/core/closed_steps.py
@@ -1,4 +1,4 @@
-"""Which steps of each trainer's run are closed."""
+"""The closed steps of each run of each trainer."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MAX_BEYOND = 16  # closed steps above the mark that are kept one by one
+MAX_BEYOND_MARK = 16  # closed steps above the mark that are stored one by one
 NO_STEP = -1
 
 
 class ClosedSteps:
-    """Closed steps by trainer and run; a closed step never opens again.
+    """Closed steps by trainer and run; a closed step is never reopened.
 
-    :ivar change_count: raised with every change, so that peers ask only for what is new
+    A mark closes all steps up to ``mark`` and the single steps in ``beyond``.
+
+    :ivar change_count: raised with every change, so that peers request only newer marks
+    :ivar changed_at: change count at which each mark changed last
     """
 
     def __init__(self) -> None:
@@ -37,34 +40,36 @@
         return self.merge([StepMark(key.trainer, key.run, NO_STEP, (key.step,))])
 
     def merge(self, marks: Iterable[StepMark]) -> bool:
-        """Take over what a peer knows to be closed.
+        """Merge the marks of a peer.
 
-        :returns: whether that closed anything
+        :returns: whether any mark changed
         """
         changed = False
         for mark in marks:
-            owner = (mark.trainer, mark.run)
-            held = self.marks.get(owner, StepMark(mark.trainer, mark.run, NO_STEP))
-            merged = _normal(
+            trainer_run = (mark.trainer, mark.run)
+            held = self.marks.get(trainer_run, StepMark(mark.trainer, mark.run, NO_STEP))
+            merged = _normalized(
                 mark.trainer, mark.run, max(held.mark, mark.mark), {*held.beyond, *mark.beyond}
             )
             if merged != held:
                 self.change_count += 1
-                self.marks[owner] = merged
-                self.changed_at[owner] = self.change_count
+                self.marks[trainer_run] = merged
+                self.changed_at[trainer_run] = self.change_count
                 changed = True
         return changed
 
     def since(self, count: int) -> tuple[StepMark, ...]:
-        """Return the marks that changed after ``count``."""
+        """Return the marks that changed after change number ``count``."""
         return tuple(
-            self.marks[owner] for owner, changed in self.changed_at.items() if changed > count
+            self.marks[trainer_run]
+            for trainer_run, changed in self.changed_at.items()
+            if changed > count
         )
 
 
-def _normal(trainer: str, run: str, mark: int, beyond: set[int]) -> StepMark:
+def _normalized(trainer: str, run: str, mark: int, beyond: set[int]) -> StepMark:
     beyond = {step for step in beyond if step > mark}
-    while len(beyond) > MAX_BEYOND:
+    while len(beyond) > MAX_BEYOND_MARK:
         mark = min(beyond)
         beyond.discard(mark)
     while mark + 1 in beyond:
@@ -73,4 +78,4 @@
     return StepMark(trainer, run, mark, tuple(sorted(beyond)))
 
 
-__all__ = ["MAX_BEYOND", "ClosedSteps"]
+__all__ = ["MAX_BEYOND_MARK", "ClosedSteps"]
--- a/src/threadramp/core/freeze.py
+++ b/src/threadramp/core/freeze.py
@@ -1,25 +1,28 @@
-"""Notice that this process was stopped for a while and has woken up."""
+"""Detection of freezes: spans of time in which this process did not run."""
 
 from __future__ import annotations
 
-WAKE_WINDOW_S = 0.5  # requests read this soon after waking may have waited through the freeze
+WAKE_WINDOW_S = 0.5  # requests read this soon after a freeze may have waited since before it
 
 
 class FreezeDetector:
-    """Watches the gaps between observations, which come several times a second.
+    """Detects freezes by the gaps between observations, which are made several times a second.
 
-    :param limit_s: a gap above this counts as a freeze
+    :param limit_s: gaps above this are freezes
+    :ivar woke_at: monotonic time at which the newest freeze was detected
+    :ivar last_freeze_s: length of the newest freeze in seconds
+    :ivar freezes: number of freezes
     """
 
     def __init__(self, limit_s: float, now: float) -> None:
         self.limit_s = limit_s
         self.last_observed_at = now
-        self.woke = float("-inf")
-        self.lost_s = 0.0
+        self.woke_at = float("-inf")
+        self.last_freeze_s = 0.0
         self.freezes = 0
 
     def observe(self, now: float) -> bool:
-        """Note the time.
+        """Record the time.
 
         :returns: whether a freeze has just ended
         """
@@ -27,14 +30,14 @@
         self.last_observed_at = now
         if gap <= self.limit_s:
             return False
-        self.woke = now
-        self.lost_s = gap
+        self.woke_at = now
+        self.last_freeze_s = gap
         self.freezes += 1
         return True
 
     def unseen_wait_s(self, now: float) -> float:
         """Return how long a request that is read at ``now`` may have waited unseen."""
-        return self.lost_s if now - self.woke <= WAKE_WINDOW_S else 0.0
+        return self.last_freeze_s if now - self.woke_at <= WAKE_WINDOW_S else 0.0
 
 
 __all__ = ["FreezeDetector"]
--- a/src/threadramp/core/head.py
+++ b/src/threadramp/core/head.py
@@ -1,7 +1,7 @@
-"""The head of the configuration chain, as the key-value service holds it.
+"""The head of the configuration chain, as stored in the key-value service.
 
-The head is one small value that is swapped and watched. It carries the newest changes; what came
-before them is in the snapshot that it names.
+The head is one small value that is replaced by compare-and-swap and watched. It holds the newest
+changes; the earlier ones are part of the snapshot that it names.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 HEAD_KEY = "threadramp/head"
 SNAPSHOT_PREFIX = "threadramp/snapshot/"
-MAX_HEAD_CHANGES = 64  # a longer head is cut by a snapshot before the next change
+MAX_HEAD_CHANGES = 64  # before the next change, a longer head is replaced by a snapshot
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The newest changes and where the rest is.
+    """The newest changes and the revision of the snapshot before them.
 
-    :param snapshot: revision of the snapshot before the changes, 0 if there is none
+    :param snapshot: revision of that snapshot, 0 if there is none
     """
 
     revision: int = 0
@@ -37,12 +37,12 @@
         """Encode the head."""
         return msgspec.json.encode(self)
 
-    def has_change(self, change_id: str) -> Change | None:
-        """Return the change with an id, if it is among the newest."""
+    def find_change(self, change_id: str) -> Change | None:
+        """Return the change with an id, none if the head does not hold it."""
         return next((change for change in self.changes if change.change_id == change_id), None)
 
     def with_change(self, change: Change) -> Head:
-        """Return the head after one more change."""
+        """Return the head with one more change."""
         return Head(change.revision, self.snapshot, (*self.changes, change))
 
 
@@ -52,7 +52,7 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Encode a snapshot as the service holds it."""
+    """Encode a snapshot as it is stored in the key-value service."""
     return msgspec.json.encode(snapshot)
 
 
@@ -62,7 +62,7 @@
 
 
 def is_prefix(older: Head, chain: ConfigurationChain) -> bool:
-    """Return whether everything in ``older`` is part of ``chain``."""
+    """Return whether ``chain`` contains all changes of ``older``."""
     known = {change.revision: change.change_id for change in chain.log}
     return older.revision <= chain.revision and all(
         known.get(change.revision, change.change_id) == change.change_id for change in older.changes
@@ -73,7 +73,7 @@
     """Check a change against the configuration that it applies to.
 
     :returns: the change with all defaults filled in
-    :raises FindingsError: with everything that is wrong
+    :raises FindingsError: with all findings
     """
     typed = dict(chain.typed)
     if change.spec is None:
@@ -100,8 +100,8 @@
     if version >= before.version:
         return []
     place = f"weights/{change.name}.version"
-    hint = "publish the old weights under a new version"
-    return [Finding(place, f"{version} is below {before.version}", hint)]
+    hint = "publish the old weights under a new version number"
+    return [Finding(place, f"{version} is lower than the current version {before.version}", hint)]
 
 
 __all__ = [
--- a/src/threadramp/core/lot_tracker.py
+++ b/src/threadramp/core/lot_tracker.py
@@ -1,7 +1,8 @@
-"""The samples of one lot from hand-in to listed result, without I/O and without a clock.
+"""State of the samples of one lot from submission to listed result, without I/O and clock.
 
-Events and the time go in; what to do next is asked for. Whatever order messages come in, a sample
-has one result, and a result gets one position, which is read only once the store has kept it.
+Callers pass in events and the current time, and ask for the next actions. In whatever order
+messages arrive, a sample has one result and a result has one position, which can be read only once
+the store has stored the result.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
     from threadramp.lots.model import Lot, Sample
     from threadramp.policy.listing import Listing
 
-MAX_CHUNK_CHARACTERS = 400_000  # of text in one chunk, so that a value stays below a megabyte
+MAX_CHUNK_CHARACTERS = 400_000  # keeps a stored value below a megabyte
 
 
 class Phase(Enum):
-    """How far a sample is."""
+    """Progress of a sample; ``STAGED`` results wait to be appended to the stored list."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -34,7 +35,11 @@
 
 
 class RunOutcome(Enum):
-    """How a run of a sample ended at its sidecar; ``CRASHED`` if its engine ended meanwhile."""
+    """How a run of a sample ended at its sidecar.
+
+    ``NONE``: not ended. ``IMPOSSIBLE``: the endpoint can not run this sample at all. ``CUT``:
+    interrupted, may be resumed. ``CRASHED``: the engine crashed meanwhile.
+    """
 
     NONE = ""
     COMPLETE = "whole"
@@ -48,15 +53,15 @@
 class SampleState:
     """One sample.
 
-    :param runner: sidecar that runs it, empty if none does
+    :param runner: sidecar that was asked to run it, empty if it is not assigned
     :param events: data of the events so far
-    :param events_before: how many there were when the sidecar was asked
-    :param versions: of the weights, one for each event
-    :param lineage: names the chain of events that the sidecar said it goes on with
-    :param confirmed: whether the sidecar that was asked last said so; none of its events counts
-        before, since they may be of an earlier run there
-    :param not_before: it is not sent to a sidecar again before this time
-    :param last_runner: sidecar that was asked last
+    :param events_before: number of events when it was assigned
+    :param versions: weight version of each event
+    :param lineage: names the chain of events that the sidecar said it resumes
+    :param confirmed: whether that sidecar has confirmed the run; its events are ignored before, as
+        they may belong to an earlier run there
+    :param not_before: time before which it is not assigned again
+    :param last_runner: sidecar that it was assigned to last
     """
 
     sample: Sample
@@ -76,17 +81,18 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether it has no result yet."""
+        """Return whether the sample has no result yet."""
         return self.phase in (Phase.WAITING, Phase.RUNNING, Phase.SCORING)
 
 
 @dataclass(frozen=True)
 class LotRules:
-    """What the lot's route asks for.
+    """Rules of the lot's route.
 
     :param max_attempts: failed runs after which a sample is given up
-    :param give_up_at: time after which a sample may be given up
-    :param due: time at which its results are due
+    :param one_version: whether all events of a sample must have the same weight version
+    :param due: time at which the lot's results are due
+    :param give_up_at: time from which unfinished samples are given up
     """
 
     max_attempts: int
@@ -96,7 +102,11 @@
 
 
 class LotTracker:
-    """All samples of one lot."""
+    """All samples of one lot.
+
+    :param listed: results that are stored already
+    :ivar append_open: whether an append to the store is in progress
+    """
 
     def __init__(
         self,
@@ -128,7 +138,7 @@
         return len(self.listed) == len(self.states)
 
     def waiting(self, now: float) -> list[SampleState]:
-        """Return the samples that want a sidecar, most wanted first."""
+        """Return the samples that can be assigned to a sidecar, the longest first."""
         if self.ended:
             return []
         found = [
@@ -136,17 +146,17 @@
             for state in self.states.values()
             if state.phase is Phase.WAITING and state.not_before <= now
         ]
-        # A long sample decides when its group is whole, so it starts first.
+        # The longest sample decides when its group is complete, so it starts first.
         found.sort(key=lambda state: -self.events_left(state))
         return found
 
     def events_left(self, state: SampleState) -> float:
-        """Return about how many events are still to come."""
+        """Return the expected number of remaining events of a sample."""
         expected = state.sample.expected_tokens or state.sample.tokens
         return self.lengths.left(expected, len(state.events))
 
     def event_counts_at(self, runner: str) -> dict[str, int]:
-        """Return the samples that a sidecar said it runs, with the events that are here."""
+        """Return the number of known events of each sample that a sidecar has confirmed to run."""
         return {
             name: len(state.events)
             for name, state in self.states.items()
@@ -154,7 +164,7 @@
         }
 
     def assign(self, sample: str, runner: str) -> None:
-        """Note that a sidecar is asked to run a sample."""
+        """Record that a sidecar is asked to run a sample."""
         state = self.states[sample]
         state.phase = Phase.RUNNING
         state.runner = runner
@@ -163,7 +173,7 @@
         state.events_before = len(state.events)
 
     def accepted(self, sample: str, runner: str, lineage: str) -> bool:
-        """Note that a sidecar runs a sample, and which chain of events it goes on with."""
+        """Record that a sidecar runs a sample, and which chain of events it resumes."""
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.RUNNING or state.runner != runner:
             return False
@@ -172,7 +182,7 @@
         return True
 
     def return_to_queue(self, sample: str, runner: str, not_before: float) -> bool:
-        """Note that a sidecar does not run a sample any more; its events stay."""
+        """Record that a sidecar no longer runs a sample; the sample's events are kept."""
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.RUNNING or state.runner != runner:
             return False
@@ -182,13 +192,13 @@
         return True
 
     def postpone(self, sample: str, until: float) -> None:
-        """Let a waiting sample wait until a time."""
+        """Postpone a waiting sample until a time."""
         state = self.states.get(sample)
         if state is not None and state.phase is Phase.WAITING:
             state.not_before = max(state.not_before, until)
 
     def lose_runner(self, runner: str, now: float) -> list[str]:
-        """Give back all samples of a sidecar that was lost."""
+        """Return all samples of a lost sidecar to the queue."""
         return [name for name in self.states if self.return_to_queue(name, runner, now)]
 
     def add_events(
@@ -200,7 +210,10 @@
         versions: Sequence[int],
         lineage: str,
     ) -> bool:
-        """Add events of a run; false if they are not the ones that follow those that are here."""
+        """Add events of a run; false if they do not continue the known events of that run.
+
+        :param base: number of events before the first of these
+        """
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.RUNNING or not state.confirmed:
             return False
@@ -214,7 +227,7 @@
     def prefill(
         self, sample: str, events: Sequence[str], versions: Sequence[int], lineage: str
     ) -> bool:
-        """Start a sample with text that was kept from an earlier lot, if its versions fit."""
+        """Start a sample with partial text from an earlier run, if its versions are allowed."""
         state = self.states.get(sample)
         fits = state is not None and state.phase is Phase.WAITING and not state.events
         if not fits or not events or min(versions) < self.lot.min_version:
@@ -227,15 +240,15 @@
         return True
 
     def run_ended(self, sample: str, runner: str, outcome: RunOutcome, now: float) -> Phase | None:
-        """Note how a run ended; returns the sample's new phase, none if it changes nothing."""
+        """Record how a run ended; return the sample's new phase, none if the run is not current."""
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.RUNNING or state.runner != runner:
             return None
         state.runner = ""
         if outcome is RunOutcome.COMPLETE:
             self.lengths.ended(state.sample.expected_tokens, len(state.events))
-            self._text_whole(state, now)
-        elif outcome is RunOutcome.IMPOSSIBLE:  # one such answer is enough
+            self._text_complete(state, now)
+        elif outcome is RunOutcome.IMPOSSIBLE:  # a single such outcome is final
             self._stage(state, ResultState.DEAD, "", now)
         elif outcome is RunOutcome.FAILED:
             self._run_failed(state, now)
@@ -245,7 +258,7 @@
         return state.phase
 
     def scored(self, sample: str, score: str, now: float) -> bool:
-        """Note the score of a sample."""
+        """Record the score of a sample."""
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.SCORING:
             return False
@@ -253,7 +266,7 @@
         return True
 
     def score_failed(self, sample: str, now: float, max_attempts: int) -> bool:
-        """Count an answer that the score failed; true if the sample is given up for it."""
+        """Count a failed scoring attempt; return true if the sample needs no further attempt."""
         state = self.states.get(sample)
         if state is None or state.phase is not Phase.SCORING:
             return True
@@ -264,7 +277,7 @@
         return True
 
     def give_up_overdue(self, now: float) -> list[str]:
-        """Give up the samples whose time is over."""
+        """Give up all unfinished samples once the time limit has passed, and return them."""
         if now < self.rules.give_up_at or self.ended:
             return []
         late = [name for name, state in self.states.items() if state.is_open]
@@ -273,18 +286,18 @@
         return late
 
     def next_chunk(self, now: float) -> tuple[Result, ...]:
-        """Return the results to append now, none while an append is open or it is too early."""
+        """Return the results to append now, none while an append is open or not due yet."""
         if self.append_open or self.ended:
             return ()
         staged = [state for state in self.states.values() if state.phase is Phase.STAGED]
-        if not staged or not self._flush_is_due(staged, now):
+        if not staged or not self._append_is_due(staged, now):
             return ()
         staged.sort(key=lambda state: state.staged_at)
         self.append_open = True
         return _first_chunk([state.result for state in staged if state.result is not None])
 
     def appended(self, results: Iterable[Result]) -> None:
-        """Note that the store keeps these results at the next positions."""
+        """Record that these results were stored at the next positions."""
         self.append_open = False
         for result in results:
             state = self.states[result.sample]
@@ -294,15 +307,15 @@
             self.listed.append(result)
 
     def append_failed(self) -> None:
-        """Note that the store did not keep the chunk; it is tried again."""
+        """Record that the chunk was not stored; it is appended again."""
         self.append_open = False
 
     def end(self) -> list[str]:
-        """End the lot; returns the samples that still ran."""
+        """End the lot; return the samples that are still running."""
         self.ended = True
         return [name for name, state in self.states.items() if state.phase is Phase.RUNNING]
 
-    def _flush_is_due(self, staged: list[SampleState], now: float) -> bool:
+    def _append_is_due(self, staged: list[SampleState], now: float) -> bool:
         ready = {group for group in self.groups if self._group_is_ready(group)}
         unlisted = Unlisted(
             oldest_at=min(state.staged_at for state in staged),
@@ -317,7 +330,7 @@
         phases = (self.states[name].phase for name in self.groups[group])
         return all(phase in (Phase.STAGED, Phase.LISTED) for phase in phases)
 
-    def _text_whole(self, state: SampleState, now: float) -> None:
+    def _text_complete(self, state: SampleState, now: float) -> None:
         too_old = bool(state.versions) and min(state.versions) < self.lot.min_version
         mixed = self.rules.one_version and len(set(state.versions)) > 1
         if too_old or mixed or not state.events:
@@ -354,10 +367,10 @@
 
 def _first_chunk(results: list[Result]) -> tuple[Result, ...]:
     size = 0
-    for place, result in enumerate(results):
+    for position, result in enumerate(results):
         size += len(result.text)
-        if size > MAX_CHUNK_CHARACTERS and place:
-            return tuple(results[:place])
+        if size > MAX_CHUNK_CHARACTERS and position:
+            return tuple(results[:position])
     return tuple(results)
 
 
--- a/src/threadramp/core/progress.py
+++ b/src/threadramp/core/progress.py
@@ -1,4 +1,4 @@
-"""How far one sample of a step is, over all its attempts."""
+"""Progress of one sample of a step over all its attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class EndpointAttempt:
     """One attempt of a sample at one endpoint."""
 
     endpoint: str
@@ -21,32 +21,35 @@
 class SampleProgress:
     """One sample of the step.
 
-    :ivar attempts: where attempts were submitted and not seen to be gone
-    :ivar finished: attempts that are held whole
-    :ivar tokens: produced so far by the attempt that was reported last
+    :ivar attempts: attempts that were submitted and are not known to be lost
+    :ivar finished: oldest weight version of each complete attempt
+    :ivar delivered: the attempt that was added to the lot, none if there is none
+    :ivar delivered_oldest: oldest weight version of the delivered attempt
+    :ivar digest: of the delivered text and its versions
+    :ivar last_attempt: the highest number of an attempt so far
+    :ivar tokens: number of tokens in the newest report, of whichever attempt
     :ivar started_at: monotonic time at which its first tokens were reported
-    :ivar delivered: the attempt that was put into the lot, with its digest
     """
 
     spec: SampleSpec
     group: str
     index: int
-    attempts: set[Place] = field(default_factory=set)
-    finished: dict[Place, int] = field(default_factory=dict)
-    delivered: Place | None = None
+    attempts: set[EndpointAttempt] = field(default_factory=set)
+    finished: dict[EndpointAttempt, int] = field(default_factory=dict)
+    delivered: EndpointAttempt | None = None
     delivered_oldest: int = 0
     digest: str = ""
     last_attempt: int = 0
     tokens: int = 0
     started_at: float | None = None
 
-    def produced(self, tokens: int, now: float) -> None:
-        """Note how many tokens there are."""
+    def record_tokens(self, tokens: int, now: float) -> None:
+        """Record a reported number of tokens; a lower one than before restarts the clock."""
         if tokens < self.tokens or not tokens:
-            self.started_at = None  # it was restarted, or waits
+            self.started_at = None  # restarted, or waiting in a queue
         if tokens and self.started_at is None:
             self.started_at = now
         self.tokens = tokens
 
 
-__all__ = ["Place", "SampleProgress"]
+__all__ = ["EndpointAttempt", "SampleProgress"]
--- a/src/threadramp/core/samples.py
+++ b/src/threadramp/core/samples.py
@@ -1,4 +1,4 @@
-"""Samples at one sidecar: queued, running, finished and held until their step is closed."""
+"""Samples at one sidecar: queued, running, or finished and kept until their step is closed."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from threadramp.wire.messages import CallStamp, CloseStep, StepKey, StepPoll
 
 NO_VERSION = -1
-MAX_LOTS = 256  # ids of closed steps' lots that are kept for who asks again
-ABANDONED_AFTER_S = 900.0  # a step that no gateway has asked about is dropped
+MAX_CLOSED_LOTS = 256  # lot ids of closed steps, for gateways that poll such a step again
+ABANDONED_AFTER_S = 900.0  # without a poll for so long, a step is dropped
 
 
 @dataclass(frozen=True)
 class SampleTask:
     """A sample to run on the engine.
 
-    :param text: what an earlier, paused run has produced already
-    :param run_id: names this run of the sample; a later run makes it void
+    :param text: text that an earlier, paused run has produced
+    :param run_id: id of this run of the sample; a later run supersedes it
     """
 
     key: StepKey
@@ -43,9 +43,10 @@
 
 @dataclass(frozen=True)
 class Waste:
-    """What was thrown away in some time.
+    """Discarded work since the last call.
 
-    :param restarts: samples begun anew since they had grown too old
+    :param tokens: number of discarded tokens
+    :param restarts: samples that were restarted as their oldest version had become too old
     """
 
     tokens: int
@@ -53,8 +54,8 @@
 
 
 @dataclass
-class HeldSample:
-    """One sample of a held step; ``run_id`` is 0 while it waits in the queue."""
+class BufferedSample:
+    """One sample of a buffered step; ``run_id`` is 0 while it waits in the queue."""
 
     spec: SampleSpec
     run_id: int = 0
@@ -64,16 +65,16 @@
 
     @property
     def oldest(self) -> int:
-        """Return the oldest version so far, or ``NO_VERSION``."""
+        """Return the oldest weight version so far, or ``NO_VERSION``."""
         return min((piece.version for piece in self.pieces), default=NO_VERSION)
 
     @property
     def tokens(self) -> int:
-        """Return the tokens produced so far."""
+        """Return the number of tokens produced so far."""
         return sum(piece.tokens for piece in self.pieces)
 
     def restart(self) -> None:
-        """Forget what was produced."""
+        """Discard all output."""
         self.run_id = 0
         self.text.clear()
         self.pieces.clear()
@@ -81,153 +82,165 @@
 
 
 @dataclass
-class HeldStep:
-    """A step of which this sidecar has samples."""
+class BufferedStep:
+    """A step with samples at this sidecar.
+
+    :ivar call: the newest call of the trainer for this step; polls of older calls are refused
+    :ivar oldest_allowed: the oldest weight version in a sample that may be delivered
+    :ivar last_polled_at: monotonic time of the newest poll
+    :ivar queue: samples that wait for a slot
+    """
 
     call: CallStamp
     model: str
     oldest_allowed: int
-    asked: float
-    samples: dict[str, HeldSample] = field(default_factory=dict)
+    last_polled_at: float
+    samples: dict[str, BufferedSample] = field(default_factory=dict)
     queue: deque[str] = field(default_factory=deque)
 
 
 class SampleBuffer:
     """All samples at one sidecar.
 
-    :param marks: which steps are closed
-    :ivar wasted_tokens: tokens that were produced and thrown away since they were last taken
+    :param closed_steps: the steps that are closed
+    :ivar closed_lots: ids of the lots of closed steps
+    :ivar wasted_tokens: tokens that were discarded since the last :meth:`take_waste`
+    :ivar restarted_stale: samples that were restarted for their age since then
     """
 
-    def __init__(self, marks: ClosedSteps) -> None:
-        self.marks = marks
-        self.steps: dict[StepKey, HeldStep] = {}
-        self.lots: dict[StepKey, str] = {}
-        self.runs = 0
+    def __init__(self, closed_steps: ClosedSteps) -> None:
+        self.closed_steps = closed_steps
+        self.steps: dict[StepKey, BufferedStep] = {}
+        self.closed_lots: dict[StepKey, str] = {}
+        self.run_count = 0
         self.wasted_tokens = 0
         self.restarted_stale = 0
 
-    def poll(self, poll: StepPoll, takes_work: bool, now: float) -> StepPollReply | StepRefused:
-        """Take a gateway's exchange about a step.
+    def handle_poll(
+        self, poll: StepPoll, takes_work: bool, now: float
+    ) -> StepPollReply | StepRefused:
+        """Handle a gateway's poll of a step.
 
-        :param takes_work: whether samples may begin here; if not, those that wait are given back
+        :param takes_work: whether samples may start here; if not, those in the queue are returned
         """
-        if self.marks.is_closed(poll.key):
-            return StepRefused(Reason.ALREADY_DELIVERED.value, lot=self.lots.get(poll.key, ""))
+        if self.closed_steps.is_closed(poll.key):
+            return StepRefused(
+                Reason.ALREADY_DELIVERED.value, lot=self.closed_lots.get(poll.key, "")
+            )
         step = self.steps.get(poll.key)
         if step is None:
-            step = HeldStep(poll.call, poll.model, poll.oldest_allowed, now)
+            step = BufferedStep(poll.call, poll.model, poll.oldest_allowed, now)
             self.steps[poll.key] = step
         if poll.call < step.call:
             return StepRefused(Reason.SUPERSEDED.value)
         step.call = poll.call
-        step.asked = now
+        step.last_polled_at = now
         step.oldest_allowed = max(step.oldest_allowed, poll.oldest_allowed)
-        self._drop(step, poll.cancel)
+        self._drop_samples(step, poll.cancel)
         if not takes_work:
-            self._drop(step, tuple(step.queue))  # the gateway places them elsewhere
+            self._drop_samples(step, tuple(step.queue))  # the gateway places them elsewhere
         else:
             self._submit(step, poll.submit)
-        self._restart_stale(step)
+        self._restart_stale_samples(step)
         return self._reply(step, poll.fetch, takes_work)
 
-    def start(self, allowed: set[str]) -> SampleTask | None:
-        """Take the next sample to run, from each step in turn.
+    def next_task(self, allowed: set[str]) -> SampleTask | None:
+        """Take the next sample to run, from the steps in round-robin order.
 
         :param allowed: models for which new work may start
         """
         for key, step in list(self.steps.items()):
             if step.queue and step.model in allowed:
                 sample = step.queue.popleft()
-                self.steps[key] = self.steps.pop(key)  # the next turn is another step's
-                return self._task(key, step, sample)
+                self.steps[key] = self.steps.pop(key)  # moves the step to the end
+                return self._make_task(key, step, sample)
         return None
 
-    def piece(self, task: SampleTask, text: str, tokens: int, version: int) -> bool:
+    def add_piece(self, task: SampleTask, text: str, tokens: int, version: int) -> bool:
         """Add a piece to a running sample.
 
-        :returns: whether the run goes on
+        :returns: whether the run continues
         """
-        held = self._running(task)
-        if held is None:
+        buffered = self._current_run(task)
+        if buffered is None:
             self.wasted_tokens += tokens
             return False
-        held.text.append(text)
-        if held.pieces and held.pieces[-1].version == version:
-            held.pieces[-1] = Piece(version, held.pieces[-1].tokens + tokens)
+        buffered.text.append(text)
+        if buffered.pieces and buffered.pieces[-1].version == version:
+            buffered.pieces[-1] = Piece(version, buffered.pieces[-1].tokens + tokens)
         else:
-            held.pieces.append(Piece(version, tokens))
+            buffered.pieces.append(Piece(version, tokens))
         step = self.steps[task.key]
         if version < step.oldest_allowed:
-            self._requeue_fresh(step, task.spec.sample)
+            self._restart_sample(step, task.spec.sample)
             return False
         return True
 
     def finish(self, task: SampleTask) -> bool:
-        """Hold a sample whose run has ended whole.
+        """Keep a sample whose run is complete.
 
-        :returns: whether it was still wanted
+        :returns: whether the run was still the current one and has produced a piece
         """
-        held = self._running(task)
-        if held is None or not held.pieces:
-            self.fail(task, keep=False)
+        buffered = self._current_run(task)
+        if buffered is None or not buffered.pieces:
+            self.requeue(task, keep_text=False)
             return False
-        held.payload = SamplePayload(
-            task.spec.sample, task.spec.attempt, "".join(held.text), tuple(held.pieces)
+        buffered.payload = SamplePayload(
+            task.spec.sample, task.spec.attempt, "".join(buffered.text), tuple(buffered.pieces)
         )
         return True
 
-    def fail(self, task: SampleTask, keep: bool) -> None:
-        """Put a sample back into the queue.
+    def requeue(self, task: SampleTask, keep_text: bool) -> None:
+        """Return a sample to the queue.
 
-        :param keep: whether what it has produced is labelled and can be resumed from
+        :param keep_text: whether all its output has a known version, so that it can be resumed
         """
-        held = self._running(task)
-        if held is None:
+        buffered = self._current_run(task)
+        if buffered is None:
             return
-        if keep:
-            held.run_id = 0
+        if keep_text:
+            buffered.run_id = 0
             self.steps[task.key].queue.appendleft(task.spec.sample)
         else:
-            self._requeue_fresh(self.steps[task.key], task.spec.sample)
+            self._restart_sample(self.steps[task.key], task.spec.sample)
 
     def is_wanted(self, task: SampleTask) -> bool:
-        """Return whether a run is still the current one of its sample."""
-        return self._running(task) is not None
+        """Return whether a run is still the current run of its sample."""
+        return self._current_run(task) is not None
 
     def close(self, close: CloseStep) -> None:
-        """Close a step and let go of its samples."""
-        self.marks.close(close.key)
-        self.lots[close.key] = close.lot
-        while len(self.lots) > MAX_LOTS:
-            del self.lots[next(iter(self.lots))]
+        """Close a step and drop its samples."""
+        self.closed_steps.close(close.key)
+        self.closed_lots[close.key] = close.lot
+        while len(self.closed_lots) > MAX_CLOSED_LOTS:
+            del self.closed_lots[next(iter(self.closed_lots))]
         self.drop_closed()
 
     def drop_closed(self) -> None:
-        """Let go of the samples of steps that are closed."""
-        for key in [key for key in self.steps if self.marks.is_closed(key)]:
-            self._drop(self.steps[key], tuple(self.steps[key].samples))
+        """Drop the samples of all closed steps."""
+        for key in [key for key in self.steps if self.closed_steps.is_closed(key)]:
+            self._drop_samples(self.steps[key], tuple(self.steps[key].samples))
             del self.steps[key]
 
     def sweep(self, now: float) -> None:
-        """Drop steps that no gateway has asked about for long."""
+        """Drop steps that no gateway has polled for ``ABANDONED_AFTER_S``."""
         for key, step in list(self.steps.items()):
-            if now - step.asked > ABANDONED_AFTER_S:
+            if now - step.last_polled_at > ABANDONED_AFTER_S:
                 del self.steps[key]
 
     def take_waste(self) -> Waste:
-        """Return what was thrown away since the last call."""
+        """Return and reset the counts of discarded work."""
         taken = Waste(self.wasted_tokens, self.restarted_stale)
         self.wasted_tokens = 0
         self.restarted_stale = 0
         return taken
 
     def queued_count(self) -> int:
-        """Return how many samples wait."""
+        """Return the number of samples that wait for a slot."""
         return sum(len(step.queue) for step in self.steps.values())
 
     def finished_count(self) -> int:
-        """Return how many finished samples are held."""
+        """Return the number of finished samples that are kept here."""
         return sum(
             1
             for step in self.steps.values()
@@ -235,59 +248,61 @@
             if sample.payload is not None
         )
 
-    def _submit(self, step: HeldStep, specs: tuple[SampleSpec, ...]) -> None:
+    def _submit(self, step: BufferedStep, specs: tuple[SampleSpec, ...]) -> None:
         for spec in specs:
             if spec.sample not in step.samples:
-                step.samples[spec.sample] = HeldSample(spec)
+                step.samples[spec.sample] = BufferedSample(spec)
                 step.queue.append(spec.sample)
 
-    def _drop(self, step: HeldStep, samples: tuple[str, ...]) -> None:
+    def _drop_samples(self, step: BufferedStep, samples: tuple[str, ...]) -> None:
         for sample in samples:
-            held = step.samples.pop(sample, None)
-            if held is None:
+            buffered = step.samples.pop(sample, None)
+            if buffered is None:
                 continue
-            if held.payload is None:
-                self.wasted_tokens += held.tokens
+            if buffered.payload is None:
+                self.wasted_tokens += buffered.tokens
             if sample in step.queue:
                 step.queue.remove(sample)
 
-    def _restart_stale(self, step: HeldStep) -> None:
-        for sample, held in step.samples.items():
-            if held.pieces and held.oldest < step.oldest_allowed:
-                self._requeue_fresh(step, sample)
+    def _restart_stale_samples(self, step: BufferedStep) -> None:
+        for sample, buffered in step.samples.items():
+            if buffered.pieces and buffered.oldest < step.oldest_allowed:
+                self._restart_sample(step, sample)
 
-    def _requeue_fresh(self, step: HeldStep, sample: str) -> None:
-        held = step.samples[sample]
-        self.wasted_tokens += held.tokens
-        if held.pieces and held.oldest < step.oldest_allowed:
+    def _restart_sample(self, step: BufferedStep, sample: str) -> None:
+        buffered = step.samples[sample]
+        self.wasted_tokens += buffered.tokens
+        if buffered.pieces and buffered.oldest < step.oldest_allowed:
             self.restarted_stale += 1
-        held.restart()
+        buffered.restart()
         if sample not in step.queue:
             step.queue.appendleft(sample)
 
-    def _task(self, key: StepKey, step: HeldStep, sample: str) -> SampleTask:
-        held = step.samples[sample]
-        self.runs += 1
-        held.run_id = self.runs
-        return SampleTask(key, held.spec, step.model, "".join(held.text), held.run_id)
+    def _make_task(self, key: StepKey, step: BufferedStep, sample: str) -> SampleTask:
+        buffered = step.samples[sample]
+        self.run_count += 1
+        buffered.run_id = self.run_count
+        return SampleTask(key, buffered.spec, step.model, "".join(buffered.text), buffered.run_id)
 
-    def _running(self, task: SampleTask) -> HeldSample | None:
+    def _current_run(self, task: SampleTask) -> BufferedSample | None:
         step = self.steps.get(task.key)
-        held = step.samples.get(task.spec.sample) if step else None
-        if held is None or held.run_id != task.run_id or held.payload is not None:
+        buffered = step.samples.get(task.spec.sample) if step else None
+        if buffered is None or buffered.run_id != task.run_id or buffered.payload is not None:
             return None
-        return held
+        return buffered
 
-    def _reply(self, step: HeldStep, fetch: tuple[str, ...], takes_work: bool) -> StepPollReply:
+    def _reply(self, step: BufferedStep, fetch: tuple[str, ...], takes_work: bool) -> StepPollReply:
         finished = []
         running = []
-        for sample, held in step.samples.items():
-            if held.payload is not None:
-                newest = held.payload.versions[-1]
-                status = SampleStatus(sample, held.spec.attempt, held.oldest, newest)
+        for sample, buffered in step.samples.items():
+            if buffered.payload is not None:
+                newest = buffered.payload.versions[-1]
+                status = SampleStatus(sample, buffered.spec.attempt, buffered.oldest, newest)
                 finished.append(status)
             else:
-                status = RunningStatus(sample, held.spec.attempt, held.tokens, held.oldest)
+                status = RunningStatus(
+                    sample, buffered.spec.attempt, buffered.tokens, buffered.oldest
+                )
                 running.append(status)
         payloads = tuple(
             step.samples[sample].payload
--- a/src/threadramp/core/served_versions.py
+++ b/src/threadramp/core/served_versions.py
@@ -1,4 +1,4 @@
-"""What one engine serves: verified versions, orders under way, and which labels are possible."""
+"""Weight versions of one engine: verified versions, orders in progress, possible version labels."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 ORDER_BACKOFF_MIN_S = 0.2
 ORDER_BACKOFF_MAX_S = 10.0
-READ_INTERVAL_S = 2.0  # an engine that obeys a late order is noticed within this time
-STUCK_AFTER_S = 1.0  # without a verified version, work that waits here is better off elsewhere
+READ_INTERVAL_S = 2.0  # an engine that obeys a late order is detected within this time
+STUCK_AFTER_S = 1.0  # without a verified version, queued work is moved elsewhere
 HISTORY_LENGTH = 64
-REVISION_SHIFT = 42  # wall clock milliseconds take 41 bits until the year 2039
+REVISION_SHIFT = 42  # wall clock milliseconds fit into 41 bits until the year 2039
 
 
 @dataclass(frozen=True)
 class Order:
-    """Order the engine to load a version."""
+    """Action: order the engine to load a version."""
 
     model: str
     version: int
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True)
 class ReadVersions:
-    """Ask the engine what it serves."""
+    """Action: read which versions the engine serves."""
 
 
 @dataclass(frozen=True)
-class Served:
-    """One version that the engine may have served from a time on."""
+class ServedVersion:
+    """A version that the engine may have served since a monotonic time."""
 
     since: float
     version: int
@@ -36,43 +36,49 @@
 
 @dataclass(frozen=True)
 class ModelState:
-    """What is known of one model at the engine.
+    """Known state of one model at the engine.
 
-    :param verified: the version that a read-back confirmed, none if not known
-    :param ordered: the version of an order under way, none if there is none
+    :param verified: the version that the newest read-back returned, none if it is not known
+    :param ordered: the version of an order in progress, none if there is none
     :param next_order: monotonic time before which no order is sent
+    :param backoff_s: delay until an order may be repeated
+    :param history: versions that the engine may have served, oldest first
     """
 
     verified: int | None = None
     ordered: int | None = None
     next_order: float = 0.0
     backoff_s: float = ORDER_BACKOFF_MIN_S
-    history: tuple[Served, ...] = ()
+    history: tuple[ServedVersion, ...] = ()
 
 
 class ServedVersions:
-    """The sidecar's own record of its engine's versions.
+    """The sidecar's record of the versions that its engine serves.
 
-    :param started_ms: wall clock at the sidecar's start, the lower part of each order's number
-    :param delay_s: this engine's share of the time over which a fleet's loads are spread
+    :param started_ms: wall clock at the sidecar's start, the lower part of each order's fencing
+        token
+    :param delay_s: delay of this engine's loads, which are spread over some time in a fleet
+    :ivar declared: newest declared version by model
+    :ivar boot: id of the engine's current start
     :ivar generation: raised whenever the served version may have changed
-    :ivar outdone_at: monotonic time at which the engine was last found to have obeyed an order of a
-        newer revision than the one known here
+    :ivar min_fencing_token: the highest token with which the engine has refused an order
+    :ivar superseded_at: monotonic time at which the engine was last found to have obeyed an order
+        of a newer revision than the one known here
     """
 
     def __init__(self, started_ms: int, delay_s: float = 0.0) -> None:
         self.started_ms = started_ms
         self.delay_s = delay_s
-        self.wanted: dict[str, int] = {}
-        self.wanted_since: dict[str, float] = {}
+        self.declared: dict[str, int] = {}
+        self.declared_since: dict[str, float] = {}
         self.models: dict[str, ModelState] = {}
         self.boot = ""
         self.generation = 0
         self.next_read = 0.0
         self.verified_at: dict[str, float] = {}
-        self.fence_floor = 0
+        self.min_fencing_token = 0
         self.revision = 0
-        self.outdone_at = float("-inf")
+        self.superseded_at = float("-inf")
 
     def verified(self) -> dict[str, int]:
         """Return the verified versions by model."""
@@ -85,27 +91,27 @@
     def next_actions(
         self, declared: dict[str, int], revision: int, now: float
     ) -> list[Order | ReadVersions]:
-        """Return what to do towards the declared versions.
+        """Return the next actions towards the declared versions.
 
         :param declared: version by model
-        :param revision: of the configuration that declares them
+        :param revision: configuration revision that declares them
         """
-        self._note_wanted(declared, now)
+        self._record_declared(declared, now)
         self.revision = revision
         unread = any(self._state(model).verified is None for model in declared)
         read_after = ORDER_BACKOFF_MIN_S if unread else READ_INTERVAL_S
         if now >= self.next_read:
             self.next_read = now + read_after
             return [ReadVersions()]
-        fence = max((revision << REVISION_SHIFT) + self.started_ms, self.fence_floor)
+        fencing_token = max((revision << REVISION_SHIFT) + self.started_ms, self.min_fencing_token)
         return [
-            Order(model, version, fence)
+            Order(model, version, fencing_token)
             for model, version in sorted(declared.items())
             if self._needs_order(model, version, now)
         ]
 
     def record_order_sent(self, order: Order, now: float) -> None:
-        """Note that an order is about to leave: from now on both versions are possible."""
+        """Record that an order is about to be sent; from now on both versions are possible."""
         state = self._state(order.model)
         self.generation += 1
         self.models[order.model] = ModelState(
@@ -113,22 +119,22 @@
             ordered=order.version,
             next_order=now + state.backoff_s,
             backoff_s=min(state.backoff_s * 2, ORDER_BACKOFF_MAX_S),
-            history=_note(state.history, now, order.version),
+            history=_append_version(state.history, now, order.version),
         )
 
     def record_order_result(
-        self, model: str, accepted: bool, now: float, engine_fence: int = 0
+        self, model: str, accepted: bool, now: float, engine_fencing_token: int = 0
     ) -> None:
-        """Note an order's answer; either way only a read-back says what is served.
+        """Record the response to an order; the version is unverified until the next read-back.
 
-        :param accepted: whether the engine said that it had loaded the version
-        :param engine_fence: the number that the engine holds, if it refused an older one
+        :param accepted: whether the engine reported that it had loaded the version
+        :param engine_fencing_token: the engine's token, if it refused the order's as an older one
         """
         state = self._state(model)
         self.generation += 1
-        self.fence_floor = max(self.fence_floor, engine_fence)
-        if engine_fence >> REVISION_SHIFT > self.revision:
-            self.outdone_at = now
+        self.min_fencing_token = max(self.min_fencing_token, engine_fencing_token)
+        if engine_fencing_token >> REVISION_SHIFT > self.revision:
+            self.superseded_at = now
         self.models[model] = ModelState(
             verified=None,
             next_order=state.next_order,
@@ -136,26 +142,26 @@
             history=state.history,
         )
         self.next_read = now
-        del accepted  # a swap that claims success is verified like one that failed
+        del accepted  # a reported success is verified in the same way as a failure
 
     def record_versions(self, boot: str, served: dict[str, int | None], now: float) -> None:
-        """Note what the engine says that it serves.
+        """Record the versions that the engine reports.
 
-        :param boot: the engine's start mark
-        :param served: version by model, none where it does not know
+        :param boot: id of the engine's start
+        :param served: version by model, none where the engine does not know it
         """
         if boot != self.boot:
             self.boot = boot
             self.generation += 1
         for model in {*served, *self.models}:
-            self._note_read(model, served.get(model), now)
+            self._record_read(model, served.get(model), now)
 
     def record_freeze(self, now: float) -> None:
-        """Note that this process was frozen: nothing is verified any more."""
+        """Record that this process was frozen, so that no version is verified any more."""
         self.invalidate(now)
 
     def invalidate(self, now: float) -> None:
-        """Forget all verified versions; a read-back comes next."""
+        """Invalidate all verified versions, and read them again at once."""
         self.generation += 1
         self.next_read = now
         for model, state in self.models.items():
@@ -174,7 +180,7 @@
         return names_versions or state.ordered is None
 
     def is_stuck(self, model: str, now: float) -> bool:
-        """Return whether a model has not been verified for longer than a swap takes."""
+        """Return whether a model has been unverified for longer than a load usually takes."""
         if self._state(model).verified is not None:
             self.verified_at[model] = now
         return now - self.verified_at.setdefault(model, now) > STUCK_AFTER_S
@@ -184,7 +190,7 @@
         state = self._state(model)
         before = [item for item in state.history if item.since <= since]
         after = [item for item in state.history if item.since > since]
-        # The newest order before may still have been under way, so its predecessor counts too.
+        # The newest order before ``since`` may have been in progress, so the one before it counts.
         possible = before[-2:] + after
         return any(item.version == version for item in possible)
 
@@ -192,29 +198,29 @@
         state = self._state(model)
         if state.ordered is not None or now < state.next_order:
             return False
-        if now < self.wanted_since[model] + self.delay_s:
+        if now < self.declared_since[model] + self.delay_s:
             return False
         return state.verified != version
 
-    def _note_wanted(self, declared: dict[str, int], now: float) -> None:
+    def _record_declared(self, declared: dict[str, int], now: float) -> None:
         for model, version in declared.items():
-            if self.wanted.get(model) != version:
-                self.wanted[model] = version
-                self.wanted_since[model] = now
+            if self.declared.get(model) != version:
+                self.declared[model] = version
+                self.declared_since[model] = now
 
-    def _note_read(self, model: str, version: int | None, now: float) -> None:
+    def _record_read(self, model: str, version: int | None, now: float) -> None:
         state = self._state(model)
         if version != state.verified:
             self.generation += 1
         history = state.history
         if version is not None:
-            history = _note(history, now, version)
-        settled = version is not None and version == state.verified
+            history = _append_version(history, now, version)
+        is_confirmed = version is not None and version == state.verified
         self.models[model] = ModelState(
             verified=version,
             ordered=state.ordered,
             next_order=state.next_order,
-            backoff_s=ORDER_BACKOFF_MIN_S if settled else state.backoff_s,
+            backoff_s=ORDER_BACKOFF_MIN_S if is_confirmed else state.backoff_s,
             history=history,
         )
 
@@ -222,10 +228,12 @@
         return self.models.get(model, ModelState())
 
 
-def _note(history: tuple[Served, ...], now: float, version: int) -> tuple[Served, ...]:
+def _append_version(
+    history: tuple[ServedVersion, ...], now: float, version: int
+) -> tuple[ServedVersion, ...]:
     if history and history[-1].version == version:
         return history
-    return (*history, Served(now, version))[-HISTORY_LENGTH:]
+    return (*history, ServedVersion(now, version))[-HISTORY_LENGTH:]
 
 
 __all__ = ["Order", "ReadVersions", "ServedVersions"]
--- a/src/threadramp/core/sidecar.py
+++ b/src/threadramp/core/sidecar.py
@@ -1,4 +1,4 @@
-"""Decisions of a sidecar: what it admits, runs, keeps, refuses and orders."""
+"""State of one sidecar: admission of calls and rollouts, keys, and orders to its engine."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
     from threadramp.core.served_versions import ReadVersions
     from threadramp.wire.messages import Reply, Request
 
-NEWS_S = 10.0  # several beats; without one for so long another may stand beside the engine
+MAX_HEARTBEAT_AGE_S = 10.0  # several heartbeats; after that, another sidecar may serve the engine
 MAX_QUEUE = 256
-MAX_KEPT_ANSWERS = 4096
+MAX_STORED_RESPONSES = 4096
 DEFAULT_RESERVE = "none"
 
 
 @dataclass(frozen=True)
 class CallRequest:
-    """A call as it reaches a sidecar.
+    """A call as a sidecar receives it.
 
-    :param time_left_s: seconds until the caller wants its answer
-    :param revision: of the gateway that sent it
-    :param refusal_seen: number of the key's refusal that the caller has seen, 0 for none
-    :param model: the model it asks for, empty at a plain service
+    :param time_left_s: seconds until the caller needs the response
+    :param revision: configuration revision of the gateway that sent the call
+    :param refusal_seen: number of the key's newest refusal that the caller shows, 0 for none
+    :param model: the model that the call asks for, empty at a plain service
     """
 
     call: str
@@ -63,7 +63,7 @@
 
 
 class RolloutAction(Enum):
-    """What becomes of a running rollout after a piece."""
+    """How a running rollout proceeds after a piece of its output."""
 
     CONTINUE = auto()
     STOP = auto()
@@ -73,9 +73,12 @@
 class SidecarCore:
     """All state of one sidecar; the caller holds a lock around each method.
 
-    :param incarnation: names this process; a restarted sidecar has another
-    :param started_ms: wall clock at the start, a part of each order's number
+    :param incarnation: id of this process; a restarted sidecar has another one
+    :param started_ms: wall clock at the start, the lower part of each order's fencing token
     :param reserve: name of the reserve policy
+    :ivar stopping: whether a planned stop is in progress
+    :ivar pausing_rollouts: running rollouts that were told to pause and have not ended yet
+    :ivar last_heartbeat_at: monotonic time of the newest heartbeat that is certain to be recent
     """
 
     def __init__(
@@ -89,8 +92,8 @@
         self.settings = settings
         self.incarnation = incarnation
         self.chain = ConfigurationChain()
-        self.marks = ClosedSteps()
-        self.samples = SampleBuffer(self.marks)
+        self.closed_steps = ClosedSteps()
+        self.samples = SampleBuffer(self.closed_steps)
         share = rank_share(settings.endpoint)
         self.served_versions = ServedVersions(started_ms, share * settings.load_spread_s)
         self.freeze = FreezeDetector(settings.freeze_limit_s, now)
@@ -100,18 +103,18 @@
             incarnation,
             settings.key_window_s,
             settings.max_keys,
-            MAX_KEPT_ANSWERS,
+            MAX_STORED_RESPONSES,
             now,
         )
         self.stopping = False
-        self.pausing = 0
-        self.heard_at = float("-inf")
+        self.pausing_rollouts = 0
+        self.last_heartbeat_at = float("-inf")
 
     # -- configuration ---------------------------------------------------------------------
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """Return this sidecar's endpoint as declared, none if it is not."""
+        """Return the declared endpoint of this sidecar, none if it is not declared."""
         return self.chain.get("endpoint", self.settings.endpoint)
 
     @property
@@ -122,7 +125,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Return whether no new work is taken."""
+        """Return whether this sidecar refuses new work."""
         endpoint = self.endpoint
         return self.stopping or endpoint is None or endpoint.drain
 
@@ -137,25 +140,26 @@
     # -- time ------------------------------------------------------------------------------
 
     def observe(self, now: float) -> None:
-        """Note the time; after a freeze nothing about the engine is taken for granted."""
+        """Record the time; a freeze of this process invalidates the verified versions."""
         if self.freeze.observe(now):
             self.served_versions.record_freeze(now)
 
     def next_engine_actions(self, now: float) -> list[Order | ReadVersions]:
-        """Return what to do towards the declared versions."""
+        """Return the orders and reads that bring the engine to the declared versions."""
         self.observe(now)
         due = self.served_versions.next_actions(self.declared_versions(), self.chain.revision, now)
         return [one for one in due if not isinstance(one, Order) or self.may_send_order(one, now)]
 
     def may_send_order(self, order: Order, now: float) -> bool:
-        """Return whether an order may still be sent; asked right before it is.
+        """Return whether an order may still be sent; checked again right before the send.
 
-        The news that it rests on is a gateway's beat: one of the last while, and one that came
-        behind any order of newer news that the engine has obeyed.
+        The declared versions must have been confirmed by a gateway's heartbeat that is recent, and
+        that arrived after the engine was last found to have obeyed an order of a newer revision.
         """
         self.observe(now)
         is_fresh = (
-            now - self.heard_at <= NEWS_S and self.heard_at >= self.served_versions.outdone_at
+            now - self.last_heartbeat_at <= MAX_HEARTBEAT_AGE_S
+            and self.last_heartbeat_at >= self.served_versions.superseded_at
         )
         return is_fresh and self.declared_versions().get(order.model) == order.version
 
@@ -164,15 +168,15 @@
     def begin_call(
         self, request: CallRequest, now: float
     ) -> Admitted | Queued | Replay | Wait | Refusal:
-        """Decide on a call that has arrived."""
+        """Admit, queue, replay, delay or refuse a call that has arrived."""
         self.observe(now)
         binding = request.binding
-        if binding is not None and self._is_decided(binding):
+        if binding is not None and self._is_decided_by_key(binding):
             return self.keys.begin(binding, request.body_digest, request.refusal_seen, now)
         deadline = now + request.time_left_s - self.freeze.unseen_wait_s(now)
-        refusal = self._refuse_call(request, deadline, now)
+        refusal = self._check_call(request, deadline, now)
         if refusal is not None:
-            return self._refuse(binding, refusal, now)
+            return self._record_refusal(binding, refusal, now)
         if binding is not None:
             decision = self.keys.begin(binding, request.body_digest, request.refusal_seen, now)
             if not isinstance(decision, Run):
@@ -183,58 +187,69 @@
         return offered
 
     def may_send(self, deadline: float, now: float) -> bool:
-        """Return whether a call may still be sent on; asked right before it is sent."""
+        """Return whether a call may still be sent to the endpoint; checked right before sending."""
         self.observe(now)
         return now < deadline
 
     def withdraw_call(
         self, call: str, binding: Binding | None, reason: Reason, message: str, now: float
     ) -> tuple[Refusal, list[str]]:
-        """Give up a call of which no byte has left.
+        """Cancel a call of which no byte was sent to the endpoint.
 
-        :returns: the refusal, and the calls that were admitted into the room
+        :returns: the refusal, and the queued calls that were admitted in its place
         """
-        self.admission.give_up(call)
+        self.admission.remove_waiting(call)
         admitted = self.admission.finish(call, now)
         if binding is None:
             return Refusal.not_run(reason, message, DEFAULT_RETRY_AFTER_S), admitted
         return self.keys.withdraw(binding, reason, message, now), admitted
 
     def end_call(
-        self, call: str, binding: Binding | None, answer: EndpointResponse | None, now: float
+        self, call: str, binding: Binding | None, response: EndpointResponse | None, now: float
     ) -> list[str]:
-        """Note the end of a call that was sent.
+        """Record the end of a call that was sent to the endpoint.
 
-        :param answer: the endpoint's whole answer, or none if none came
-        :returns: the calls that were admitted into the room
+        :param response: the endpoint's complete response, or none if none came
+        :returns: the queued calls that were admitted in its place
         """
         if binding is not None:
-            keep = answer is not None and len(answer.body) <= self.settings.max_answer_bytes
-            self.keys.finish(binding.key, answer, keep)
+            keep = response is not None and len(response.body) <= self.settings.max_answer_bytes
+            self.keys.finish(binding.key, response, keep)
         return self.admission.finish(call, now)
 
-    def _is_decided(self, binding: Binding) -> bool:
+    def _is_decided_by_key(self, binding: Binding) -> bool:
         state = self.keys.state(binding.key)
         return binding.incarnation != self.incarnation or state not in (None, KeyState.REFUSED)
 
-    def _refuse_call(self, request: CallRequest, deadline: float, now: float) -> Refusal | None:
+    def _check_call(self, request: CallRequest, deadline: float, now: float) -> Refusal | None:
         if request.revision < self.chain.revision:
-            return Refusal.not_run(Reason.SENDER_BEHIND, "the gateway has an older revision")
+            return Refusal.not_run(
+                Reason.SENDER_BEHIND,
+                "the gateway has an older configuration revision than the sidecar",
+            )
         if request.revision > self.chain.revision:
-            # Decided by the older one, a call would run at a drained endpoint, or its sound answer
-            # would be rejected, as the change that its gateway accepted has not arrived here.
-            return Refusal.not_run(Reason.RECEIVER_BEHIND, "the sidecar has an older revision", 1)
+            # The gateway has accepted a change that has not arrived here. Under the older revision
+            # the call would run at a drained endpoint, or its valid response would be rejected.
+            return Refusal.not_run(
+                Reason.RECEIVER_BEHIND,
+                "the sidecar has an older configuration revision than the gateway",
+                1,
+            )
         if self.leaving:
-            return Refusal.not_run(Reason.LEAVING, "the endpoint is leaving", 1)
+            return Refusal.not_run(
+                Reason.LEAVING, "the endpoint is draining, stopping or not declared", 1
+            )
         if deadline <= now:
-            return Refusal.not_run(Reason.DEADLINE, "its deadline has passed")
+            return Refusal.not_run(Reason.DEADLINE, "the call's deadline has passed")
         if request.model and not self._may_start(request.model):
-            return Refusal.not_run(Reason.WEIGHTS_UNKNOWN, "the engine's version is not known", 1)
+            return Refusal.not_run(
+                Reason.WEIGHTS_UNKNOWN, "the weight version that the engine serves is not known", 1
+            )
         return None
 
-    def _refuse(self, binding: Binding | None, refusal: Refusal, now: float) -> Refusal:
+    def _record_refusal(self, binding: Binding | None, refusal: Refusal, now: float) -> Refusal:
         if binding is None or refusal.reason in BEHIND:
-            return refusal  # it says nothing of the key: the gateway sends the call again
+            return refusal  # not recorded for the key: the gateway resends the call
         return self.keys.refuse(binding, refusal.reason, refusal.message, now)
 
     def _may_start(self, model: str) -> bool:
@@ -246,7 +261,7 @@
     # -- rollouts --------------------------------------------------------------------------
 
     def next_rollout(self, now: float) -> SampleTask | None:
-        """Take the next sample to run, if a slot is left for it."""
+        """Return the next sample to run, none if no sample or no slot is available."""
         self.observe(now)
         pool = self.pool
         if pool is None or self.leaving or not self.samples.queued_count():
@@ -254,7 +269,7 @@
         allowed = {model for model in pool.models if self._may_start(model)}
         if not allowed or not self.admission.start_rollout(now):
             return None
-        task = self.samples.start(allowed)
+        task = self.samples.next_task(allowed)
         if task is None:
             self.admission.finish_rollout(now)
         return task
@@ -262,43 +277,43 @@
     def rollout_piece(
         self, task: SampleTask, text: str, tokens: int, version: int | None, since: float
     ) -> RolloutAction:
-        """Take a piece of a running rollout.
+        """Handle a piece of a running rollout's output.
 
-        :param version: as the engine named it; none where it names none
+        :param version: weight version that the engine named, none if it named none
         :param since: monotonic time at which the run started
         """
         if version is None or not self.served_versions.may_have_served(task.model, version, since):
             return RolloutAction.STOP
-        if not self.samples.piece(task, text, tokens, version):
+        if not self.samples.add_piece(task, text, tokens, version):
             return RolloutAction.STOP
-        if self.admission.rollouts_to_pause() > self.pausing:
-            self.pausing += 1
+        if self.admission.rollouts_to_pause() > self.pausing_rollouts:
+            self.pausing_rollouts += 1
             return RolloutAction.PAUSE
         return RolloutAction.CONTINUE
 
-    def end_rollout(self, task: SampleTask, whole: bool, paused: bool, now: float) -> list[str]:
-        """Note the end of a rollout's run.
+    def end_rollout(self, task: SampleTask, complete: bool, paused: bool, now: float) -> list[str]:
+        """Record the end of a rollout's run.
 
-        :param whole: whether the engine sent its end mark
-        :returns: the calls that were admitted into the room
+        :param complete: whether the engine sent its end mark
+        :returns: the queued calls that were admitted in its place
         """
-        if whole:
+        if complete:
             self.samples.finish(task)
         else:
-            self.samples.fail(task, keep=paused)
+            self.samples.requeue(task, keep_text=paused)
         if paused:
-            self.pausing -= 1
+            self.pausing_rollouts -= 1
         return self.admission.finish_rollout(now)
 
     # -- sync ------------------------------------------------------------------------------
 
     def handle(self, request: Request, now: float) -> Reply:
-        """Answer a message of the sync exchange."""
+        """Return the reply to a message of the sync exchange."""
         self.observe(now)
         if isinstance(request, SyncRequest):
-            return self._beat(request, now)
+            return self._handle_heartbeat(request, now)
         if isinstance(request, StepPoll):
-            return self._poll(request, now)
+            return self._handle_poll(request, now)
         if isinstance(request, CloseStep):
             self.samples.close(request)
             return StepClosed(request.key)
@@ -307,32 +322,32 @@
             return KeyAnswer(self.incarnation, "" if state is None else state.value)
         raise TypeError(type(request).__name__)
 
-    def _beat(self, request: SyncRequest, now: float) -> SyncReply:
+    def _handle_heartbeat(self, request: SyncRequest, now: float) -> SyncReply:
         if request.snapshot is not None:
             self.chain.restore(request.snapshot)
         self.chain.apply(request.changes)
-        if not self.freeze.unseen_wait_s(now):  # else it may have lain here
-            self.heard_at = now
-        if self.marks.merge(request.marks):
+        if not self.freeze.unseen_wait_s(now):  # else it may be from before a freeze
+            self.last_heartbeat_at = now
+        if self.closed_steps.merge(request.marks):
             self.samples.drop_closed()
         self.samples.sweep(now)
         changes, snapshot = self.chain.update_for(request.revision)
-        marks = self.marks.since(request.marks_seen)
-        return SyncReply(self.report(now), changes, snapshot, marks, self.marks.change_count)
+        marks = self.closed_steps.since(request.marks_seen)
+        return SyncReply(self.report(now), changes, snapshot, marks, self.closed_steps.change_count)
 
-    def _poll(self, poll: StepPoll, now: float) -> Reply:
+    def _handle_poll(self, poll: StepPoll, now: float) -> Reply:
         if poll.revision < self.chain.revision:
             changes, snapshot = self.chain.update_for(poll.revision)
             return StepRefused(Reason.SENDER_BEHIND.value, changes=changes, snapshot=snapshot)
-        # What its gateway already knows may be that this endpoint is drained.
+        # A newer revision at the gateway may drain this endpoint.
         lags = poll.revision > self.chain.revision
         takes_work = (
             not self.leaving and not lags and not self.served_versions.is_stuck(poll.model, now)
         )
-        return self.samples.poll(poll, takes_work, now)
+        return self.samples.handle_poll(poll, takes_work, now)
 
     def report(self, now: float) -> EndpointReport:
-        """Return what holds here."""
+        """Return this sidecar's state for its gateways."""
         return EndpointReport(
             endpoint=self.settings.endpoint,
             incarnation=self.incarnation,
--- a/src/threadramp/core/step.py
+++ b/src/threadramp/core/step.py
@@ -1,7 +1,7 @@
-"""Assembly of one trainer step at a gateway: which samples run where, and the lot they make.
+"""Assembly of one trainer step at a gateway: places samples at endpoints and collects the lot.
 
-The trainer holds the step: it repeats the call until it has the lot. So this state is soft, and a
-new gateway rebuilds it by asking the sidecars before it submits anything.
+The trainer repeats its call until it has the lot. The state here therefore need not be durable: a
+new gateway rebuilds it by polling the sidecars before it submits anything.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from threadramp.core.progress import Place, SampleProgress
+from threadramp.core.progress import EndpointAttempt, SampleProgress
 from threadramp.policy.placement import Room
 from threadramp.wire.messages import SamplePayload, SampleSpec, StepPoll
 from threadramp.wire.seal import digest
@@ -19,23 +19,27 @@
     from threadramp.policy.tail import TailPolicy
     from threadramp.wire.messages import CallStamp, StepKey, StepPollReply
 
-MISSES_UNTIL_LOST = 3
+MISSED_POLLS_UNTIL_LOST = 3
 DEFAULT_POLLS_PER_S = 100.0
-IDLE_POLL_S = 1.0  # between two questions to an endpoint that has no running samples
-FETCH_BATCH = 32  # payloads asked of one sidecar in one exchange
+IDLE_POLL_S = 1.0  # between two polls of an endpoint without running samples
+FETCH_BATCH = 32  # payloads requested from one sidecar in one exchange
 
 
 @dataclass
 class EndpointProgress:
-    """One endpoint of the step's shard.
-
-    :ivar running: samples that it has not finished
-    :ivar placed: all samples of which an attempt was placed there
+    """State of one endpoint of the step's shard.
+
+    :ivar has_replied: whether it has replied to any poll
+    :ivar missed_polls: polls without a reply since the last reply
+    :ivar takes_work: whether it accepted new samples at its last reply
+    :ivar next_poll: monotonic time of its next poll
+    :ivar running: samples that run or wait there
+    :ivar placed: all samples that have an attempt there, finished ones included
     """
 
     slots: int
-    heard: bool = False
-    misses: int = 0
+    has_replied: bool = False
+    missed_polls: int = 0
     takes_work: bool = False
     next_poll: float = float("-inf")
     running: set[str] = field(default_factory=set)
@@ -43,13 +47,13 @@
 
     @property
     def is_usable(self) -> bool:
-        """Return whether samples may be submitted there."""
-        return self.takes_work and self.misses == 0
+        """Return whether samples may be submitted to it."""
+        return self.takes_work and self.missed_polls == 0
 
 
 @dataclass(frozen=True)
 class Delivery:
-    """A sample that enters the lot."""
+    """A sample that is added to the lot."""
 
     group: str
     index: int
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Withdrawal:
-    """A sample that left the lot before its end, since it had grown too old."""
+    """A sample that was removed from the unfinished lot, as its version had become too old."""
 
     sample: str
 
@@ -67,9 +71,11 @@
     """The samples of one step.
 
     :param shard: slots by endpoint
-    :param oldest_allowed: the oldest version that a delivered sample may name
+    :param oldest_allowed: the oldest weight version in a delivered sample
     :param polls_per_s: exchanges a second that have nothing to submit, cancel or fetch; the fewer
-        endpoints still have samples, the more often each is asked
+        endpoints still run samples, the more often each is polled
+    :ivar cancels: samples to cancel by endpoint, sent with its next poll
+    :ivar has_polled: whether the first polls were made; nothing is submitted before
     """
 
     def __init__(
@@ -95,17 +101,17 @@
         self.polls_per_s = polls_per_s
         self.withdrawals: list[Withdrawal] = []
         self.cancels: dict[str, list[str]] = {name: [] for name in shard}
-        self.asked = False
+        self.has_polled = False
 
     def raise_oldest_allowed(self, oldest_allowed: int) -> None:
-        """Raise the oldest version that may be delivered, when the trainer has moved on."""
+        """Raise the oldest version that may be delivered, and withdraw older delivered samples."""
         if oldest_allowed <= self.oldest_allowed:
             return
         self.oldest_allowed = oldest_allowed
         for name, sample in self.samples.items():
             sample.finished = {
-                place: oldest
-                for place, oldest in sample.finished.items()
+                endpoint_attempt: oldest
+                for endpoint_attempt, oldest in sample.finished.items()
                 if oldest >= oldest_allowed
             }
             if sample.delivered is not None and sample.delivered_oldest < oldest_allowed:
@@ -113,18 +119,18 @@
                 self.withdrawals.append(Withdrawal(name))
 
     def add_endpoint(self, name: str, slots: int) -> None:
-        """Take an endpoint into the shard that has come into service."""
+        """Add an endpoint to the shard that was put into service."""
         if name not in self.endpoints:
             self.endpoints[name] = EndpointProgress(slots)
             self.cancels[name] = []
 
     def next_polls(self, revision: int, now: float) -> dict[str, StepPoll]:
-        """Return the next exchange with each endpoint that is due or has something to do."""
-        submits = self._place(now) if self.asked else {}
-        fetches = self._fetches()
-        self.asked = True
+        """Return polls for endpoints that are due or have samples to submit, cancel or fetch."""
+        submits = self._place_samples(now) if self.has_polled else {}
+        fetches = self._next_fetches()
+        self.has_polled = True
         polls = {}
-        for name in self._due({*submits, *fetches}, now):
+        for name in self._due_endpoints({*submits, *fetches}, now):
             cancel = tuple(self.cancels[name])
             self.cancels[name] = []
             polls[name] = StepPoll(
@@ -140,23 +146,23 @@
         return polls
 
     def handle_reply(self, name: str, reply: StepPollReply, now: float) -> list[Delivery]:
-        """Take an endpoint's reply.
+        """Handle an endpoint's reply to a poll.
 
-        :returns: samples that enter the lot
+        :returns: samples that are added to the lot
         """
         endpoint = self.endpoints[name]
-        endpoint.heard = True
-        endpoint.misses = 0
+        endpoint.has_replied = True
+        endpoint.missed_polls = 0
         endpoint.takes_work = reply.takes_work
-        self._forget(name)
+        self._clear_endpoint(name)
         for status in reply.running:
             if status.sample in self.samples:
-                self._note_attempt(name, status.sample, status.attempt)
+                self._record_attempt(name, status.sample, status.attempt)
                 endpoint.running.add(status.sample)
-                self.samples[status.sample].produced(status.tokens, now)
+                self.samples[status.sample].record_tokens(status.tokens, now)
         for status in reply.finished:
             if status.sample in self.samples:
-                self._note_finished(name, status.sample, status.attempt, status.oldest)
+                self._record_finished(name, status.sample, status.attempt, status.oldest)
         return [
             delivery
             for payload in reply.payloads
@@ -164,15 +170,15 @@
         ]
 
     def record_missed_poll(self, name: str) -> None:
-        """Note that an endpoint did not reply in time."""
+        """Record that an endpoint did not reply in time."""
         endpoint = self.endpoints[name]
-        endpoint.misses += 1
-        if endpoint.misses >= MISSES_UNTIL_LOST:
-            self._forget(name)
+        endpoint.missed_polls += 1
+        if endpoint.missed_polls >= MISSED_POLLS_UNTIL_LOST:
+            self._clear_endpoint(name)
 
     def record_rejected_poll(self, name: str) -> None:
-        """Note that an endpoint took nothing of the last exchange."""
-        self._forget(name)
+        """Record that an endpoint rejected the last poll; its samples are placed again."""
+        self._clear_endpoint(name)
 
     def take_withdrawals(self) -> list[Withdrawal]:
         """Return the withdrawals since the last call."""
@@ -182,49 +188,57 @@
 
     @property
     def finished_count(self) -> int:
-        """Return how many samples are held whole."""
+        """Return the number of complete samples."""
         return sum(1 for sample in self.samples.values() if sample.finished or sample.delivered)
 
     @property
     def is_complete(self) -> bool:
-        """Return whether every sample is held whole at some endpoint."""
+        """Return whether every sample is complete at some endpoint or delivered."""
         return self.finished_count == len(self.samples)
 
     @property
     def is_delivered(self) -> bool:
-        """Return whether every sample is in the lot."""
+        """Return whether every sample was added to the lot."""
         return all(sample.delivered for sample in self.samples.values())
 
     def lot_digest(self) -> str:
-        """Return the digest over the whole lot."""
+        """Return the digest of the complete lot."""
         parts = [f"{name}:{sample.digest}" for name, sample in sorted(self.samples.items())]
         return digest("\n".join(parts).encode())
 
-    def _forget(self, name: str) -> None:
+    def _clear_endpoint(self, name: str) -> None:
         endpoint = self.endpoints[name]
         endpoint.running.clear()
         for placed in endpoint.placed:
             sample = self.samples[placed]
-            sample.attempts = {place for place in sample.attempts if place.endpoint != name}
-            for place in [place for place in sample.finished if place.endpoint == name]:
-                del sample.finished[place]
+            sample.attempts = {
+                endpoint_attempt
+                for endpoint_attempt in sample.attempts
+                if endpoint_attempt.endpoint != name
+            }
+            for endpoint_attempt in [
+                endpoint_attempt
+                for endpoint_attempt in sample.finished
+                if endpoint_attempt.endpoint == name
+            ]:
+                del sample.finished[endpoint_attempt]
         endpoint.placed.clear()
 
-    def _note_attempt(self, name: str, sample_id: str, attempt: int) -> None:
+    def _record_attempt(self, name: str, sample_id: str, attempt: int) -> None:
         sample = self.samples[sample_id]
         self.endpoints[name].placed.add(sample_id)
-        sample.attempts.add(Place(name, attempt))
+        sample.attempts.add(EndpointAttempt(name, attempt))
         sample.last_attempt = max(sample.last_attempt, attempt)
 
-    def _note_finished(self, name: str, sample_id: str, attempt: int, oldest: int) -> None:
-        self._note_attempt(name, sample_id, attempt)
+    def _record_finished(self, name: str, sample_id: str, attempt: int, oldest: int) -> None:
+        self._record_attempt(name, sample_id, attempt)
         if oldest < self.oldest_allowed:
             return
         sample = self.samples[sample_id]
-        sample.finished[Place(name, attempt)] = oldest
-        for place in sample.attempts:
-            if place not in sample.finished:
-                self.cancels[place.endpoint].append(sample_id)
+        sample.finished[EndpointAttempt(name, attempt)] = oldest
+        for endpoint_attempt in sample.attempts:
+            if endpoint_attempt not in sample.finished:
+                self.cancels[endpoint_attempt.endpoint].append(sample_id)
 
     def _deliver(self, name: str, payload: SamplePayload) -> Delivery | None:
         sample = self.samples.get(payload.sample)
@@ -232,13 +246,13 @@
             return None
         if payload.oldest < self.oldest_allowed:
             return None
-        sample.delivered = Place(name, payload.attempt)
+        sample.delivered = EndpointAttempt(name, payload.attempt)
         sample.delivered_oldest = payload.oldest
         labels = ",".join(f"{piece.version}x{piece.tokens}" for piece in payload.pieces)
         sample.digest = digest(f"{labels}|{payload.text}".encode())
         return Delivery(sample.group, sample.index, payload)
 
-    def _place(self, now: float) -> dict[str, list[SampleSpec]]:
+    def _place_samples(self, now: float) -> dict[str, list[SampleSpec]]:
         rooms = self._rooms()
         submits: dict[str, list[SampleSpec]] = {}
         for sample in self.samples.values():
@@ -247,13 +261,13 @@
             room = self.placement.choose(sample.group, rooms)
             if room is None:
                 break
-            submits.setdefault(room.endpoint, []).append(self._submit(sample, room))
+            submits.setdefault(room.endpoint, []).append(self._start_attempt(sample, room))
         for sample in self.tail.second_attempts(self.samples, rooms, now):
-            taken = {place.endpoint for place in sample.attempts}
+            taken = {endpoint_attempt.endpoint for endpoint_attempt in sample.attempts}
             free = [room for room in rooms if room.endpoint not in taken]
             room = self.placement.choose(sample.group, free)
             if room is not None:
-                submits.setdefault(room.endpoint, []).append(self._submit(sample, room))
+                submits.setdefault(room.endpoint, []).append(self._start_attempt(sample, room))
         return submits
 
     def _rooms(self) -> list[Room]:
@@ -268,13 +282,13 @@
             if endpoint.is_usable
         ]
 
-    def _submit(self, sample: SampleProgress, room: Room) -> SampleSpec:
+    def _start_attempt(self, sample: SampleProgress, room: Room) -> SampleSpec:
         sample.last_attempt += 1
         room.free -= 1
         room.load += 1
         room.groups.add(sample.group)
-        place = Place(room.endpoint, sample.last_attempt)
-        sample.attempts.add(place)
+        endpoint_attempt = EndpointAttempt(room.endpoint, sample.last_attempt)
+        sample.attempts.add(endpoint_attempt)
         self.endpoints[room.endpoint].running.add(sample.spec.sample)
         self.endpoints[room.endpoint].placed.add(sample.spec.sample)
         return SampleSpec(
@@ -285,7 +299,7 @@
             sample.last_attempt,
         )
 
-    def _due(self, busy: set[str], now: float) -> list[str]:
+    def _due_endpoints(self, busy: set[str], now: float) -> list[str]:
         awaited = [name for name, endpoint in self.endpoints.items() if self._is_awaited(endpoint)]
         interval_s = len(awaited) / self.polls_per_s
         due = []
@@ -297,20 +311,20 @@
         return due
 
     def _is_awaited(self, endpoint: EndpointProgress) -> bool:
-        return bool(endpoint.running) or not endpoint.heard or endpoint.misses > 0
+        return bool(endpoint.running) or not endpoint.has_replied or endpoint.missed_polls > 0
 
-    def _fetches(self) -> dict[str, list[str]]:
+    def _next_fetches(self) -> dict[str, list[str]]:
         fetches: dict[str, list[str]] = {}
         if not self.is_complete:
             return fetches
         for name, sample in self.samples.items():
             if sample.delivered is not None or not sample.finished:
                 continue
-            place = min(sample.finished, key=lambda held: (held.attempt, held.endpoint))
-            batch = fetches.setdefault(place.endpoint, [])
+            endpoint_attempt = min(sample.finished, key=lambda held: (held.attempt, held.endpoint))
+            batch = fetches.setdefault(endpoint_attempt.endpoint, [])
             if len(batch) < FETCH_BATCH:
                 batch.append(name)
         return fetches
 
 
-__all__ = ["Delivery", "Place", "SampleProgress", "StepAssembly", "Withdrawal"]
+__all__ = ["Delivery", "EndpointAttempt", "SampleProgress", "StepAssembly", "Withdrawal"]
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -24,7 +24,7 @@
     assert refusal.retry_after_s >= 1
 
 
-def test_best_rank_goes_first(admission: Admission) -> None:
+def test_lowest_rank_is_admitted_first(admission: Admission) -> None:
     for call in ("a", "b"):
         admission.offer(call, 0, LATE, 0.0)
     admission.offer("internal", 1, LATE, 0.0)
@@ -33,15 +33,15 @@
     assert admission.finish("b", 1.0) == ["internal"]
 
 
-def test_call_that_can_not_be_in_time_is_refused_at_once(admission: Admission) -> None:
-    admission.service_s = 10.0
+def test_call_that_can_not_meet_its_deadline_is_refused_at_once(admission: Admission) -> None:
+    admission.mean_service_s = 10.0
     for call in ("a", "b"):
         admission.offer(call, 0, LATE, 0.0)
     assert admission.offer("c", 0, 1.0, 0.0).reason is Reason.OVERLOADED
     assert admission.offer("d", 0, -1.0, 0.0).reason is Reason.DEADLINE
 
 
-def test_rollouts_give_way_to_calls(admission: Admission) -> None:
+def test_rollouts_are_paused_for_queued_calls(admission: Admission) -> None:
     assert admission.start_rollout(0.0)
     assert admission.start_rollout(0.0)
     assert not admission.start_rollout(0.0)
@@ -51,10 +51,10 @@
     assert not admission.start_rollout(0.1)
 
 
-def test_call_that_gave_up_waits_no_more(admission: Admission) -> None:
+def test_removed_call_is_not_admitted_later(admission: Admission) -> None:
     for call in ("a", "b", "c"):
         admission.offer(call, 0, LATE, 0.0)
-    admission.give_up("c")
+    admission.remove_waiting("c")
     assert admission.finish("a", 1.0) == []
 
 
--- a/tests/core/test_call.py
+++ b/tests/core/test_call.py
@@ -32,7 +32,7 @@
     )
 
 
-def test_repeatable_call_goes_elsewhere_after_a_failure() -> None:
+def test_repeatable_call_is_retried_at_another_endpoint() -> None:
     call = machine(CALL)
     first = call.start(0.0)
     second = call.failed(Failure.BROKEN, 0.1)
@@ -40,7 +40,7 @@
     assert second.attempt == 2
 
 
-def test_retry_budget_bounds_a_storm() -> None:
+def test_retry_budget_limits_the_retries_of_all_calls() -> None:
     budget = RetryBudget(share=0.0, burst=1.0)
     assert isinstance(machine(CALL, budget=budget).start(0.0), Send)
     call = machine(CALL, budget=budget)
@@ -49,14 +49,14 @@
     assert call.refused(BUSY, 0.2) == Finish(BUSY)
 
 
-def test_deadline_ends_the_attempts_at_once() -> None:
+def test_no_retry_after_the_deadline() -> None:
     call = machine(CALL)
     call.start(0.0)
     end = call.failed(Failure.TIMED_OUT, 10.0)
     assert end.refusal.outcome is Outcome.UNKNOWN
 
 
-def test_nothing_left_means_not_run() -> None:
+def test_call_that_was_never_sent_is_not_run() -> None:
     call = machine(CALL, members=1)
     call.start(0.0)
     for moment in (0.1, 0.2, 0.3):
@@ -65,14 +65,14 @@
     assert end.refusal.outcome is Outcome.NOT_RUN
 
 
-def test_keyed_call_goes_to_its_sidecar_only() -> None:
+def test_keyed_call_is_sent_to_its_sidecar_only() -> None:
     call = machine(replace(CALL, binding=BINDING))
     assert call.start(0.0).member.name == "e0"
     assert call.failed(Failure.BROKEN, 0.1).member.name == "e0"
 
 
 @pytest.mark.parametrize(("first_send", "outcome"), [(True, "not_run"), (False, "unknown")])
-def test_of_a_resend_only_the_sidecar_says_not_run(first_send: bool, outcome: str) -> None:
+def test_only_the_sidecar_states_not_run_for_a_resend(first_send: bool, outcome: str) -> None:
     budget = RetryBudget(share=0.0, burst=0.0)
     call = machine(replace(CALL, binding=BINDING, first_send=first_send), budget=budget)
     call.start(0.0)
@@ -82,14 +82,14 @@
     assert call.refused(BUSY, 0.1) == Finish(BUSY)
 
 
-def test_sidecars_word_holds_after_a_broken_attempt() -> None:
+def test_the_sidecars_refusal_holds_after_a_broken_attempt() -> None:
     call = machine(replace(CALL, binding=BINDING))
     call.start(0.0)
     call.failed(Failure.BROKEN, 0.1)
     assert call.refused(BUSY, 0.2).refusal.outcome is Outcome.NOT_RUN
 
 
-def test_gateway_that_stays_behind_says_nothing_about_a_key() -> None:
+def test_gateway_that_stays_behind_reports_unknown_for_a_key() -> None:
     behind = Refusal.not_run(Reason.SENDER_BEHIND, "behind")
     call = machine(replace(CALL, binding=BINDING))
     action = call.start(0.0)
@@ -98,7 +98,7 @@
     assert action.refusal.outcome is Outcome.UNKNOWN
 
 
-def test_key_of_a_gone_incarnation_is_never_sent() -> None:
+def test_key_of_an_earlier_incarnation_is_never_sent() -> None:
     call = machine(replace(CALL, binding=replace_incarnation()))
     assert call.start(0.0).refusal.reason is Reason.INCARNATION_GONE
 
@@ -107,16 +107,16 @@
     return Binding("k", "pool", "e0", "older", 0)
 
 
-def test_a_call_ends_two_endpoints_at_most() -> None:
-    """Under one that ends each endpoint four ended before."""
-    ended = Refusal.unknown(Reason.ENDPOINT_ENDED, "it broke the connection", 1)
+def test_a_call_crashes_two_endpoints_at_most() -> None:
+    """A call that crashes each endpoint it reaches was retried until four had crashed."""
+    crashed = Refusal.unknown(Reason.ENDPOINT_ENDED, "it broke the connection", 1)
     call = machine(CALL, members=4)
     call.start(0.0)
-    assert isinstance(call.refused(ended, 0.1), Send)
-    assert call.refused(ended, 0.2) == Finish(ended)
+    assert isinstance(call.refused(crashed, 0.1), Send)
+    assert call.refused(crashed, 0.2) == Finish(crashed)
 
 
-def test_an_answer_that_is_cut_short_is_no_end() -> None:
+def test_an_incomplete_response_does_not_count_as_a_crash() -> None:
     cut = Refusal.unknown(Reason.BROKEN_ANSWER, "cut", 1)
     call = machine(CALL, members=4)
     call.start(0.0)
--- a/tests/core/test_chain.py
+++ b/tests/core/test_chain.py
@@ -13,7 +13,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 30), st.booleans()), max_size=60))
 @settings(max_examples=EXAMPLES, deadline=None)
-def test_no_copy_of_the_chain_ever_falls_or_differs(exchanges) -> None:
+def test_no_copy_of_the_chain_ever_goes_back_or_differs(exchanges) -> None:
     writer = ConfigurationChain()
     copies = [ConfigurationChain() for _ in range(3)]
     for index, upto, by_snapshot in exchanges:
--- a/tests/core/test_closed_steps.py
+++ b/tests/core/test_closed_steps.py
@@ -11,7 +11,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 40), st.integers(0, 2)), max_size=60))
 @settings(max_examples=EXAMPLES, deadline=None)
-def test_a_closed_step_never_opens(events) -> None:
+def test_a_closed_step_is_never_reopened(events) -> None:
     peers = [ClosedSteps() for _ in range(3)]
     closed: list[set[int]] = [set(), set(), set()]
     for index, step, other in events:
--- a/tests/core/test_lot_tracker.py
+++ b/tests/core/test_lot_tracker.py
@@ -1,4 +1,4 @@
-"""The samples of one lot, from hand-in to listed result."""
+"""The samples of one lot, from submission to listed result."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return make_book(make_sample("a", "g"), make_sample("b", "g", expected=900))
 
 
-def test_the_longest_sample_goes_first(book):
+def test_the_longest_sample_is_assigned_first(book):
     assert [state.sample.id for state in book.waiting(0.0)] == ["b", "a"]
 
 
@@ -38,7 +38,7 @@
     assert book.add_events("a", "s1", 0, ["x", "y"], [3, 4], "L1")
     assert book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0) is Phase.SCORING
     assert book.scored("a", "signature", 1.1)
-    assert book.next_chunk(1.2) == ()  # its group is not whole and it waited for 0.1 s only
+    assert book.next_chunk(1.2) == ()  # its group is incomplete, and it has waited for only 0.1 s
     chunk = book.next_chunk(1.5)
     book.appended(chunk)
     (result,) = book.listed
@@ -46,7 +46,7 @@
     assert (result.state, result.score) == (ResultState.SUCCEEDED, "signature")
 
 
-def test_a_whole_group_is_appended_at_once():
+def test_a_complete_group_is_appended_at_once():
     book = make_book(make_sample("a", "g", reward=None))
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x"], [1], "L1")
@@ -57,7 +57,7 @@
     assert [result.sample for result in book.next_chunk(1.0)] == ["a"]
 
 
-def test_events_of_an_earlier_sidecar_do_not_join_the_text_of_a_later_one(book):
+def test_events_of_an_earlier_sidecar_are_not_added_to_the_text_of_a_later_one(book):
     start(book, "a", "s1")
     assert book.add_events("a", "s1", 0, ["1", "2"], [1, 1], "L1")
     book.lose_runner("s1", 2.0)
@@ -67,7 +67,7 @@
     assert book.states["a"].events == ["1", "2", "3 of s2"]
 
 
-def test_no_event_is_taken_before_the_new_sidecar_said_which_text_it_goes_on_with(book):
+def test_no_event_is_added_before_the_new_sidecar_confirms_which_text_it_resumes(book):
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["1"], [1], "L1")
     book.return_to_queue("a", "s1", 0.0)
@@ -86,7 +86,7 @@
     assert book.states["a"].events == ["1", "2", "3"]
 
 
-def test_an_older_version_than_allowed_starts_over():
+def test_a_version_older_than_allowed_restarts_the_sample():
     book = make_book(make_sample("a", "g"), min_version=2)
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x"], [1], "L1")
@@ -94,7 +94,7 @@
     assert book.states["a"].events == []
 
 
-def test_several_versions_start_over_where_one_is_asked_for():
+def test_several_versions_restart_the_sample_where_one_is_required():
     book = make_book(make_sample("a", "g"), one_version=True)
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x", "y"], [1, 2], "L1")
@@ -109,21 +109,21 @@
     assert book.states["a"].result.state is ResultState.DEAD
 
 
-def test_a_cut_is_no_failure(book):
+def test_an_interrupted_run_is_not_a_failure(book):
     for _ in range(5):
         start(book, "a", "s1")
         assert book.run_ended("a", "s1", RunOutcome.CUT, 1.0) is Phase.WAITING
     assert book.states["a"].failures == 0
 
 
-def test_kept_text_serves_a_later_lot_only_if_its_versions_fit():
+def test_partial_text_is_reused_only_if_its_versions_are_allowed():
     book = make_book(make_sample("a", "g"), make_sample("b", "g"), min_version=2)
     assert not book.prefill("a", ["x"], [1], "L1")
     assert book.prefill("b", ["x"], [2], "L1")
     assert book.states["b"].events == ["x"]
 
 
-def test_an_ended_lot_asks_for_nothing(book):
+def test_an_ended_lot_requires_no_action(book):
     start(book, "a", "s1")
     assert book.end() == ["a"]
     assert book.waiting(0.0) == []
@@ -131,12 +131,12 @@
     assert book.give_up_overdue(99.0) == []
 
 
-def test_samples_are_given_up_only_after_their_time(book):
+def test_samples_are_given_up_only_after_the_time_limit(book):
     assert book.give_up_overdue(39.9) == []
     assert sorted(book.give_up_overdue(40.0)) == ["a", "b"]
 
 
-def test_a_score_that_fails_as_often_as_allowed_ends_the_sample(book):
+def test_a_sample_is_given_up_after_as_many_failed_scorings_as_allowed(book):
     start(book, "a", "s1")
     book.add_events("a", "s1", 0, ["x"], [1], "L1")
     book.run_ended("a", "s1", RunOutcome.COMPLETE, 1.0)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -24,14 +24,14 @@
     return membership.of_pool("pool", oldest)[0].is_available
 
 
-def test_endpoint_is_available_once_it_is_declared_and_heard(membership: Membership) -> None:
+def test_endpoint_is_available_once_it_is_declared_and_has_reported(membership: Membership) -> None:
     assert is_available(membership)
     unheard = Membership()
     unheard.declare({"e": SPEC})
     assert not is_available(unheard)
 
 
-def test_any_one_word_of_leaving_is_enough(membership: Membership) -> None:
+def test_box_list_declaration_or_report_alone_marks_as_leaving(membership: Membership) -> None:
     membership.set_leaving_boxes(frozenset({"127.0.0.1"}))
     assert not is_available(membership)
     membership.set_leaving_boxes(frozenset())
@@ -43,7 +43,7 @@
     assert not is_available(membership)
 
 
-def test_missed_beats_and_old_reports_do_not_count(membership: Membership) -> None:
+def test_missed_heartbeats_and_old_reports_make_unavailable(membership: Membership) -> None:
     assert not is_available(membership, oldest=10.5)
     membership.record_missed_heartbeat("e")
     assert is_available(membership)
@@ -53,6 +53,6 @@
     assert is_available(membership)
 
 
-def test_moved_endpoint_is_heard_anew(membership: Membership) -> None:
+def test_endpoint_with_a_new_address_must_report_again(membership: Membership) -> None:
     membership.declare({"e": replace(SPEC, sidecar_sync="127.0.0.1:9")})
     assert not is_available(membership)
--- a/tests/core/test_samples.py
+++ b/tests/core/test_samples.py
@@ -60,7 +60,7 @@
     def exchange(lost: int) -> None:
         for name, poll in assembly.next_polls(0, now).items():
             index = int(name[1:])
-            reply = buffers[index].poll(poll, takes_work=True, now=now)
+            reply = buffers[index].handle_poll(poll, takes_work=True, now=now)
             assert isinstance(reply, StepPollReply)
             if index == lost:
                 assembly.record_missed_poll(name)
@@ -70,10 +70,10 @@
                 delivered.append(delivery.payload.sample)
 
     def run_all(index: int) -> None:
-        while (task := buffers[index].start({"m"})) is not None:
+        while (task := buffers[index].next_task({"m"})) is not None:
             tasks[index].append(task)
         for task in tasks[index]:
-            if buffers[index].piece(task, "x", 1, version):
+            if buffers[index].add_piece(task, "x", 1, version):
                 buffers[index].finish(task)
         tasks[index].clear()
 
@@ -94,7 +94,7 @@
             for withdrawn in assembly.take_withdrawals():
                 delivered.remove(withdrawn.sample)
         assert len(delivered) == len(set(delivered))
-    for _ in range(40):  # with no more faults the step becomes whole
+    for _ in range(40):  # without further faults the step is completed
         now += 1
         for index in range(3):
             run_all(index)
@@ -105,5 +105,5 @@
         buffer.close(CloseStep(key, assembly.lot_digest()))
     again = make_assembly(key, 2, names)
     for name, poll in again.next_polls(0, now).items():
-        reply = buffers[int(name[1:])].poll(poll, takes_work=True, now=now)
+        reply = buffers[int(name[1:])].handle_poll(poll, takes_work=True, now=now)
         assert reply.reason == Reason.ALREADY_DELIVERED.value
--- a/tests/core/test_served_versions.py
+++ b/tests/core/test_served_versions.py
@@ -19,8 +19,8 @@
 
 @given(swap_events)
 @settings(max_examples=EXAMPLES, deadline=None)
-def test_what_is_called_verified_was_served_when_it_was_read(events) -> None:
-    """An engine that swaps, fails and restarts at any moment; the record follows it."""
+def test_a_verified_version_was_served_at_the_newest_read(events) -> None:
+    """The engine loads versions, fails and restarts at random; the record must follow it."""
     record = ServedVersions(started_ms=1)
     engine: int | None = None
     boot = "b0"
--- a/tests/core/test_sidecar_lag.py
+++ b/tests/core/test_sidecar_lag.py
@@ -1,4 +1,4 @@
-"""Requests that reach a sidecar under a newer revision than its own."""
+"""Requests whose sender has a newer configuration revision than the sidecar."""
 
 from __future__ import annotations
 
@@ -46,16 +46,16 @@
     return StepPoll(key, stamp, revision, "m", 0, submit=(sample,))
 
 
-def test_a_call_of_a_newer_revision_is_not_decided_by_the_older_one(core: SidecarCore) -> None:
-    """A call that was sent under a change ran as if the change had not been accepted."""
+def test_a_call_of_a_newer_revision_is_refused_as_receiver_behind(core: SidecarCore) -> None:
+    """Guards against running a call under a revision older than its gateway's."""
     refused = core.begin_call(call(revision=3), NOW)
     assert isinstance(refused, Refusal)
     assert refused.reason is Reason.RECEIVER_BEHIND
     assert refused.outcome is Outcome.NOT_RUN
 
 
-def test_the_key_of_such_a_call_runs_once_the_sidecar_has_caught_up(core: SidecarCore) -> None:
-    """A refusal that says nothing of the key must not count as the key's own."""
+def test_the_key_of_such_a_call_runs_after_the_sidecar_has_caught_up(core: SidecarCore) -> None:
+    """A refusal because of the revision must not be recorded for the key."""
     core.begin_call(call(revision=3), NOW)
     unchanged = Change(3, "c3", "pool", "p", {"type": "service", "echoes_request_id": False})
     core.handle(SyncRequest("gateway", 3, (unchanged,)), NOW)
@@ -63,7 +63,7 @@
 
 
 def test_a_sidecar_that_lags_starts_no_samples(core: SidecarCore) -> None:
-    """Samples began at an endpoint whose drain its gateway had accepted."""
+    """Guards against samples that start at an endpoint after its gateway has accepted its drain."""
     reply = core.handle(poll(revision=3), NOW)
     assert not reply.takes_work
     assert not reply.running
@@ -72,6 +72,6 @@
 
 
 def test_a_sidecar_that_caught_up_with_a_drain_refuses_as_leaving(core: SidecarCore) -> None:
-    """Once both sides have the change, the refusal is the one that the change asks for."""
+    """With the change on both sides, the refusal states the drain, not the revision."""
     core.handle(SyncRequest("gateway", 3, (DRAIN,)), NOW)
     assert core.begin_call(call(revision=3), NOW).reason is Reason.LEAVING
--- a/tests/core/test_step.py
+++ b/tests/core/test_step.py
@@ -32,20 +32,20 @@
 
 
 class Sidecars:
-    """Sidecars that run what they are given and never finish it."""
+    """Sidecars that run all submitted samples and never finish them."""
 
     def __init__(self, step: StepAssembly) -> None:
         self.step = step
         self.held: dict[str, list[str]] = {name: [] for name in step.endpoints}
         self.rates: dict[str, int] = {}
-        self.asked = 0
+        self.poll_count = 0
 
-    def exchange(self, now: float, silent: str = "") -> dict[str, list[str]]:
-        """Exchange once; return the first attempts and later ones that were submitted."""
+    def exchange(self, now: float, unresponsive: str = "") -> dict[str, list[str]]:
+        """Poll once; return the samples submitted to each endpoint, in first or later attempts."""
         submitted = {}
         for name, poll in self.step.next_polls(0, now).items():
-            self.asked += 1
-            if name == silent:
+            self.poll_count += 1
+            if name == unresponsive:
                 self.step.record_missed_poll(name)
                 continue
             submitted[name] = [spec.sample for spec in poll.submit]
@@ -56,35 +56,35 @@
         return submitted
 
 
-def test_nothing_is_submitted_before_the_sidecars_were_asked() -> None:
+def test_nothing_is_submitted_before_the_sidecars_were_polled() -> None:
     sidecars = Sidecars(assembly())
     assert not any(sidecars.exchange(0.0).values())
     assert sum(len(given) for given in sidecars.exchange(0.1).values()) == SAMPLES
 
 
-def test_questions_stay_within_their_rate() -> None:
+def test_idle_polls_stay_within_their_rate() -> None:
     sidecars = Sidecars(assembly(polls_per_s=2.0))
     sidecars.exchange(0.0)
     sidecars.exchange(0.1)
-    sidecars.asked = 0
+    sidecars.poll_count = 0
     for tick in range(100):  # ten seconds
         sidecars.exchange(0.2 + tick / 10)
-    assert 16 <= sidecars.asked <= 24
+    assert 16 <= sidecars.poll_count <= 24
 
 
-def test_siblings_go_together_while_there_is_room() -> None:
+def test_samples_of_a_group_are_placed_together_while_slots_are_free() -> None:
     sidecars = Sidecars(assembly(placement="siblings"))
     sidecars.exchange(0.0)
     for samples in sidecars.exchange(0.1).values():
         assert len({int(sample[1:]) // 4 for sample in samples}) == 1
 
 
-def test_samples_of_an_endpoint_that_misses_three_exchanges_go_elsewhere() -> None:
+def test_samples_of_an_endpoint_that_misses_three_polls_are_placed_elsewhere() -> None:
     sidecars = Sidecars(assembly(endpoints=5, polls_per_s=100.0))
     sidecars.exchange(0.0)
     sidecars.exchange(0.1)
     lost = "e0"
-    rounds = [sidecars.exchange(1.0 + tick, silent=lost) for tick in range(4)]
+    rounds = [sidecars.exchange(1.0 + tick, unresponsive=lost) for tick in range(4)]
     moved = [[sample for given in round_.values() for sample in given] for round_ in rounds]
     assert moved[:3] == [[], [], []]
     assert sorted(moved[3]) == sorted(sidecars.held[lost])
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -114,7 +114,7 @@
         "closed steps stay closed",
         "acknowledgement_is_lost",
         (
-            Edit(SAMPLES, "if self.marks.is_closed(poll.key):", "if False:"),
+            Edit(SAMPLES, "if self.closed_steps.is_closed(poll.key):", "if False:"),
             Edit(STEPS, "        if closed:\n", "        if False:\n"),
         ),
     ),
@@ -130,8 +130,8 @@
         "samples of a lost sidecar run elsewhere",
         "sidecar_is_killed_while",
         "src/threadramp/core/step.py",
-        "if place.endpoint != name}",
-        "if True}",
+        "if endpoint_attempt.endpoint != name\n",
+        "if True\n",
     ),
     Removal.of_one(
         "labels by piece",
