--- a/src/threadramp/core/served_versions.py
+++ b/src/threadramp/core/served_versions.py
@@ -190,7 +190,7 @@
         state = self._state(model)
         before = [item for item in state.history if item.since <= since]
         after = [item for item in state.history if item.since > since]
-        # The newest order before ``since`` may have been in progress, so the one before it counts.
+        # The newest order before ``since`` may not have ended yet, so its predecessor counts too.
         possible = before[-2:] + after
         return any(item.version == version for item in possible)
 
--- a/src/threadramp/core/step.py
+++ b/src/threadramp/core/step.py
@@ -253,24 +253,26 @@
         return Delivery(sample.group, sample.index, payload)
 
     def _place_samples(self, now: float) -> dict[str, list[SampleSpec]]:
-        rooms = self._rooms()
+        capacities = self._capacities()
         submits: dict[str, list[SampleSpec]] = {}
         for sample in self.samples.values():
             if sample.attempts or sample.finished or sample.delivered:
                 continue
-            room = self.placement.choose(sample.group, rooms)
-            if room is None:
+            capacity = self.placement.choose(sample.group, capacities)
+            if capacity is None:
                 break
-            submits.setdefault(room.endpoint, []).append(self._start_attempt(sample, room))
-        for sample in self.tail.second_attempts(self.samples, rooms, now):
+            submits.setdefault(capacity.endpoint, []).append(self._start_attempt(sample, capacity))
+        for sample in self.tail.second_attempts(self.samples, capacities, now):
             taken = {endpoint_attempt.endpoint for endpoint_attempt in sample.attempts}
-            free = [room for room in rooms if room.endpoint not in taken]
-            room = self.placement.choose(sample.group, free)
-            if room is not None:
-                submits.setdefault(room.endpoint, []).append(self._start_attempt(sample, room))
+            free = [capacity for capacity in capacities if capacity.endpoint not in taken]
+            capacity = self.placement.choose(sample.group, free)
+            if capacity is not None:
+                submits.setdefault(capacity.endpoint, []).append(
+                    self._start_attempt(sample, capacity)
+                )
         return submits
 
-    def _rooms(self) -> list[Room]:
+    def _capacities(self) -> list[Room]:
         return [
             Room(
                 name,
@@ -282,15 +284,15 @@
             if endpoint.is_usable
         ]
 
-    def _start_attempt(self, sample: SampleProgress, room: Room) -> SampleSpec:
+    def _start_attempt(self, sample: SampleProgress, capacity: Room) -> SampleSpec:
         sample.last_attempt += 1
-        room.free -= 1
-        room.load += 1
-        room.groups.add(sample.group)
-        endpoint_attempt = EndpointAttempt(room.endpoint, sample.last_attempt)
+        capacity.free -= 1
+        capacity.load += 1
+        capacity.groups.add(sample.group)
+        endpoint_attempt = EndpointAttempt(capacity.endpoint, sample.last_attempt)
         sample.attempts.add(endpoint_attempt)
-        self.endpoints[room.endpoint].running.add(sample.spec.sample)
-        self.endpoints[room.endpoint].placed.add(sample.spec.sample)
+        self.endpoints[capacity.endpoint].running.add(sample.spec.sample)
+        self.endpoints[capacity.endpoint].placed.add(sample.spec.sample)
         return SampleSpec(
             sample.spec.sample,
             sample.spec.prompt,
@@ -320,7 +322,7 @@
         for name, sample in self.samples.items():
             if sample.delivered is not None or not sample.finished:
                 continue
-            endpoint_attempt = min(sample.finished, key=lambda held: (held.attempt, held.endpoint))
+            endpoint_attempt = min(sample.finished, key=lambda one: (one.attempt, one.endpoint))
             batch = fetches.setdefault(endpoint_attempt.endpoint, [])
             if len(batch) < FETCH_BATCH:
                 batch.append(name)
