--- a/src/threadramp/fleet/fleet_view.py
+++ b/src/threadramp/fleet/fleet_view.py
@@ -285,12 +285,10 @@
     except msgspec.DecodeError as error:
         raise DocumentError(str(error)) from error
     if member.name != item.key.removeprefix(MEMBER_PREFIX) or member.role not in MEMBER_ROLES:
-        raise DocumentError(
-            f"{member.role} {member.name!r} does not match its key or is no known role"
-        )
+        raise DocumentError(f"{member.role} {member.name!r} under another key")
     host, _, port = member.address.rpartition(":")
     if not host or not port.isdigit():
-        raise DocumentError(f"address {member.address!r} is not HOST:PORT")
+        raise DocumentError(f"no address: {member.address!r}")
     return member
 
 
--- a/src/threadramp/fleet/organisations.py
+++ b/src/threadramp/fleet/organisations.py
@@ -113,14 +113,10 @@
         faults = [f"{row.place}: {row.reason}" for row in rows if isinstance(row, FaultyRow)]
         valid = [row for row in rows if isinstance(row, Organisation)]
         counts = Counter(row.name for row in valid)
-        faults += [
-            f"{name} is declared more than once" for name, count in counts.items() if count > 1
-        ]
+        faults += [f"{name} stands twice" for name, count in counts.items() if count > 1]
         by_name = {row.name: row for row in valid if counts[row.name] == 1}
         by_key, shared = _holders(valid)
-        faults += [
-            f"{name} holds a key that another organisation also holds" for name in sorted(shared)
-        ]
+        faults += [f"{name} holds a key that another one holds too" for name in sorted(shared)]
         alone = {key: row for key, row in by_key.items() if row.name in by_name}
         return cls(by_digest, alone, by_name, tuple(faults))
 
--- a/tests/fleet/test_organisations.py
+++ b/tests/fleet/test_organisations.py
@@ -36,7 +36,7 @@
     """Whichever row was used, the other row's callers would be taken for another organisation."""
     organisations = Organisations.from_rows([row("a", "k1"), row("a", "k2"), row("b", "k3")])
     assert holders(organisations, ("k1", "k2", "k3")) == {"k1": None, "k2": None, "k3": "b"}
-    assert organisations.faults == ("a is declared more than once",)
+    assert organisations.faults == ("a stands twice",)
 
 
 def test_the_same_row_twice_is_a_name_declared_twice():
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tests.core.test_lot_book import make_book, make_sample
+from tests.core.test_lot_tracker import make_book, make_sample
 from threadramp.fleet.fleet_view import FleetView, Member
 from threadramp.fleet.peers import Peers
 from threadramp.fleet.store_health import StoreHealth
