--- a/src/threadramp/duties/collecting.py
+++ b/src/threadramp/duties/collecting.py
@@ -37,7 +37,7 @@
     count: int
 
 
-class UsageCounting:
+class UsageCounter:
     """The counts of this gateway.
 
     Its own time of day may be off, and it serves before others told it. So what it counts soon
@@ -56,14 +56,14 @@
         self.early: list[_Early] = []
         self.lock = threading.Lock()
 
-    def began(self, organisation: str | None, steady: float) -> None:
+    def count_sent(self, organisation: str | None, steady: float) -> None:
         """Count a request that an endpoint began; one of nobody in particular is none.
 
         :param steady: time of the steady clock at which it was sent
         """
         self._note(organisation, steady, 1)
 
-    def did_not_begin(self, organisation: str | None, steady: float) -> None:
+    def uncount(self, organisation: str | None, steady: float) -> None:
         """Take it back, since its endpoint says that it did not run."""
         self._note(organisation, steady, -1)
 
@@ -108,14 +108,14 @@
             self.early.clear()
 
 
-class UsageCollecting:
+class UsageCollector:
     """Asks all gateways for their counts, each as far as it is not known here yet."""
 
-    def __init__(self, peers: Peers, counting: UsageCounting, true_time: TrueTime) -> None:
+    def __init__(self, peers: Peers, counter: UsageCounter, true_time: TrueTime) -> None:
         self.peers = peers
-        self.counting = counting
+        self.counter = counter
         self.true_time = true_time
-        self.table = UsageTable(counting.book.window_s)
+        self.table = UsageTable(counter.book.window_s)
         self.incarnations: dict[str, str] = {}
         self.unanswered: dict[str, int] = {}
         self.opened: dict[str, Open] = {}
@@ -143,7 +143,7 @@
         self._take_own(asked_at)
         names = {one.name for one in others}
         self.unanswered = {name: n for name, n in self.unanswered.items() if name in names}
-        self._forget_old({*names, self.counting.box})
+        self._forget_old({*names, self.counter.box})
         return len(replies)
 
     def _forget_old(self, names: set[str]) -> None:
@@ -151,7 +151,7 @@
 
         Also where this gateway collects beside the holder and reports nothing itself.
         """
-        oldest = self.counting.book.window_at(self.true_time.now()) - KEPT_WINDOWS
+        oldest = self.counter.book.window_at(self.true_time.now()) - KEPT_WINDOWS
         with self.lock:
             self.table.forget_before(oldest)
             self.opened = {name: row for name, row in self.opened.items() if name in names}
@@ -196,14 +196,14 @@
         return ReadUsage(*self.peers.myself, incarnation, seen, self.true_time.now())
 
     def _take_own(self, asked_at: float) -> None:
-        counting = self.counting
-        seen = self.table.seen(counting.box, counting.incarnation)
+        counter = self.counter
+        seen = self.table.seen(counter.box, counter.incarnation)
         is_sure = self.true_time.is_sure()
-        changes, windows = counting.changed_since(seen)
+        changes, windows = counter.changed_since(seen)
         own = UsageCounts(
-            counting.box, counting.incarnation, changes, windows, 0.0, counting.open(), is_sure
+            counter.box, counter.incarnation, changes, windows, 0.0, counter.open(), is_sure
         )
         self.take(own, asked_at)
 
 
-__all__ = ["UsageCollecting", "UsageCounting"]
+__all__ = ["UsageCollector", "UsageCounter"]
--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -15,7 +15,7 @@
 Open = dict[str, dict[str, float]]  # by pool and data centre
 
 
-class DemandCounting:
+class DemandCounter:
     """Counts open requests of callers, and samples that run or wait."""
 
     def __init__(self, picture: Picture, choice: EndpointChoice, owned: OwnedLots) -> None:
@@ -56,4 +56,4 @@
                 found[pool][place] += wanted / len(places)
 
 
-__all__ = ["DemandCounting", "Open"]
+__all__ = ["DemandCounter", "Open"]
--- a/src/threadramp/duties/holding.py
+++ b/src/threadramp/duties/duty_lock.py
@@ -15,7 +15,7 @@
     from threadramp.platform.store import StoreClient
 
 
-class DutyHolding:
+class DutyLock:
     """The right to the duties at one gateway.
 
     Its key lies beside the list of members, so that all gateways know who holds it without a call.
@@ -59,4 +59,4 @@
         return self.holder() == self.box
 
 
-__all__ = ["DutyHolding"]
+__all__ = ["DutyLock"]
--- a/src/threadramp/duties/turns.py
+++ b/src/threadramp/duties/duty_loop.py
@@ -14,8 +14,8 @@
 from threadramp.wire.fleet import Done, UsageCounts, UsageLeft
 
 if TYPE_CHECKING:
-    from threadramp.duties.collecting import UsageCollecting
-    from threadramp.duties.holding import DutyHolding
+    from threadramp.duties.collecting import UsageCollector
+    from threadramp.duties.duty_lock import DutyLock
     from threadramp.duties.scale_orders import ScaleOrders
     from threadramp.duties.usage_reports import UsageReports
     from threadramp.fleet.peers import Peers
@@ -26,7 +26,7 @@
 START_S = 2.0  # by then gateways that start together have listed themselves
 
 
-class Duties:
+class DutyLoop:
     """Takes turns at the duties.
 
     :param reports: none where usage is not reported
@@ -36,14 +36,14 @@
     def __init__(
         self,
         peers: Peers,
-        holding: DutyHolding,
-        collecting: UsageCollecting,
+        holding: DutyLock,
+        collector: UsageCollector,
         reports: UsageReports | None,
         scale: ScaleOrders | None = None,
     ) -> None:
         self.peers = peers
         self.holding = holding
-        self.collecting = collecting
+        self.collector = collector
         self.reports = reports
         self.scale = scale
         self.answered = 0
@@ -65,7 +65,7 @@
             holder = self.holding.holder()
             if holder == self._me:  # what a process of this box took before is learned that way
                 return True
-        unanswered = self.collecting.unanswered
+        unanswered = self.collector.unanswered
         return may_take(self._me, holder, self._names(), unanswered, self.answered)
 
     def leave(self) -> None:
@@ -79,7 +79,7 @@
         self.leaving = True
         if not self.holding.is_mine():
             return
-        unanswered = self.collecting.unanswered
+        unanswered = self.collector.unanswered
         heirs = [name for name in in_order(self._names()) if name not in unanswered]
         heirs = [name for name in heirs if name != self._me]
         try:
@@ -92,7 +92,7 @@
         holder = self.holding.holder()
         if not collects(self._me, holder, self._names()):
             return
-        self.answered = self.collecting.round()
+        self.answered = self.collector.round()
         if self.leaving or not (self.holding.right.number or self.may_take(None)):
             return
         number = self.holding.usable_number()
@@ -106,12 +106,12 @@
         except StoreError as error:
             log_state("duty_put_off", number=number, error=str(error))
 
-    def take_last(self, ask: UsageLeft) -> Done:
+    def receive_final_counts(self, ask: UsageLeft) -> Done:
         """Take what a gateway that stops counted last."""
-        self.collecting.take(ask.counts, self.collecting.true_time.now())
+        self.collector.take(ask.counts, self.collector.true_time.now())
         return Done()
 
-    def tell_last(self, until: float) -> None:
+    def send_final_counts(self, until: float) -> None:
         """Tell those that collect what was counted here last; for a planned stop.
 
         Sent once, it was lost where this process or a collector was held up; nobody else has these
@@ -119,9 +119,9 @@
 
         :param until: time of the clock after which it is not sent again
         """
-        counting = self.collecting.counting
-        changes, windows = counting.changed_since(0)
-        counts = UsageCounts(counting.box, counting.incarnation, changes, windows, 0.0)
+        counter = self.collector.counter
+        changes, windows = counter.changed_since(0)
+        counts = UsageCounts(counter.box, counter.incarnation, changes, windows, 0.0)
         ask = UsageLeft(*self.peers.myself, counts)
         told: set[str] = set()
         while True:
@@ -158,4 +158,4 @@
             self.stopped.wait(max(TURN_LEAST_S, begun + TURN_S - self.peers.clock.now()))
 
 
-__all__ = ["Duties"]
+__all__ = ["DutyLoop"]
--- a/src/threadramp/duties/scale_orders.py
+++ b/src/threadramp/duties/scale_orders.py
@@ -12,7 +12,7 @@
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
-    from threadramp.duties.collecting import UsageCollecting
+    from threadramp.duties.collecting import UsageCollector
     from threadramp.fleet.model import Pool
     from threadramp.fleet.picture import Picture
     from threadramp.fleet.rights import Right
@@ -30,14 +30,14 @@
         self,
         right: Right,
         calls: DutyCalls,
-        collecting: UsageCollecting,
+        collector: UsageCollector,
         picture: Picture,
         metrics: Metrics,
     ) -> None:
         self.right = right
         self.proof = RecentProof(right)
         self.calls = calls
-        self.collecting = collecting
+        self.collector = collector
         self.picture = picture
         self.metrics = metrics
         self.scalings: dict[str, Scaling] = {}
@@ -83,7 +83,7 @@
         endpoints = [one for one in self.picture.belief.in_pool(pool.name) if not one.leaving]
         serving = Counter(one.data_centre for one in endpoints)
         slots = max((one.slots for one in endpoints), default=pool.slots) or 1
-        busy = self.collecting.open_at(pool.name)
+        busy = self.collector.open_at(pool.name)
         return {
             name: Demand(busy.get(name, 0.0), max(count, self._booting(pool, name)), slots)
             for name, count in serving.items()
--- a/src/threadramp/duties/usage_reports.py
+++ b/src/threadramp/duties/usage_reports.py
@@ -20,7 +20,7 @@
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
-    from threadramp.duties.collecting import UsageCollecting
+    from threadramp.duties.collecting import UsageCollector
     from threadramp.fleet.rights import Right
     from threadramp.platform.duty_calls import DutyCalls
     from threadramp.platform.store import StoreClient
@@ -34,7 +34,7 @@
 class UsageReports:
     """The reports of one gateway while it holds the right to the duties.
 
-    :param began: time of the steady clock at which this process began
+    :param started_at: time of the steady clock at which this process began
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         right: Right,
         store: StoreClient,
         calls: DutyCalls,
-        collecting: UsageCollecting,
+        collector: UsageCollector,
         schedule: UsageSchedule,
         true_time: TrueTime,
         metrics: Metrics,
@@ -51,11 +51,11 @@
         self.proof = RecentProof(right)
         self.store = store
         self.calls = calls
-        self.collecting = collecting
+        self.collector = collector
         self.schedule = schedule
         self.true_time = true_time
         self.metrics = metrics
-        self.began = true_time.clock.now()
+        self.started_at = true_time.clock.now()
         self.number = 0
         self.next_window = 0
         self.unsent: dict[int, dict[str, int]] = {}
@@ -81,8 +81,8 @@
             window: counts for window, counts in fixed.items() if not self._is_over(window)
         }
         # Others have told by now what the time is; its own clock may have been off at the start.
-        began = self.true_time.at(self.began)
-        self.next_window = self.schedule.first(list(fixed), began, now)
+        started_at = self.true_time.at(self.started_at)
+        self.next_window = self.schedule.first(list(fixed), started_at, now)
         self.number = number
         log_state(
             "usage_taken_up",
@@ -95,7 +95,7 @@
         now = self.true_time.now()
         while now >= self.schedule.settled(self.next_window):
             window = self.next_window
-            told = self.collecting.all_told(self.schedule.settled(window))
+            told = self.collector.all_told(self.schedule.settled(window))
             if not self.schedule.is_ready(window, now, told):
                 return
             self._fix(window, told)
@@ -105,7 +105,7 @@
 
         :raises StoreError: if that is not known
         """
-        counts = self.collecting.total(window)
+        counts = self.collector.total(window)
         key = f"{FIXED_PREFIX}{window}"
         expected = {self.right.key: self.number, key: ABSENT}
         old = f"{FIXED_PREFIX}{window - KEPT_WINDOWS}"
--- a/src/threadramp/edge/attempts.py
+++ b/src/threadramp/edge/attempts.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Set
 
-    from threadramp.duties.collecting import UsageCounting
+    from threadramp.duties.collecting import UsageCounter
     from threadramp.edge.connections import Connections
     from threadramp.edge.exchange import Answer, Exchange
     from threadramp.edge.job import Job
@@ -51,7 +51,7 @@
         budget: RetryBudget,
         clock: Clock,
         guard: CrashGuard | None = None,
-        counting: UsageCounting | None = None,
+        counting: UsageCounter | None = None,
     ) -> None:
         self.picture = picture
         self.connections = connections
@@ -199,13 +199,13 @@
         """Count the job as begun at an endpoint, for the usage of its organisation."""
         if self.parts.counting is not None:
             self.tries.begun_at[endpoint.start] = at
-            self.parts.counting.began(self.job.who.organisation, at)
+            self.parts.counting.count_sent(self.job.who.organisation, at)
 
     def not_begun(self, endpoint: Endpoint) -> None:
         """Take that back: the endpoint said so, or it never saw the job."""
         at = self.tries.begun_at.pop(endpoint.start, None)
         if at is not None:
-            self.parts.counting.did_not_begin(self.job.who.organisation, at)
+            self.parts.counting.uncount(self.job.who.organisation, at)
 
     def closed(self, exchange: Exchange) -> None:
         """Note that an exchange is over."""
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -9,8 +9,8 @@
 from threadramp.edge.job import Ending, Job, Outcome
 from threadramp.edge.server import BodyTooLongError
 from threadramp.fleet.model import CallerLimits, RouteKind
-from threadramp.lots.elsewhere import LotUnknownError
-from threadramp.lots.repeated_writes import SETTLE_S
+from threadramp.lots.remote_lots import LotUnknownError
+from threadramp.lots.retried_writes import RETRY_FOR_S
 from threadramp.platform.headers import (
     RETRY_AFTER,
     caller_key,
@@ -240,7 +240,7 @@
             request.answer(400, body=str(error).encode())
             return
         try:
-            self.owner.hand_in(lot, route, _patience_s(request))
+            self.owner.submit(lot, route, _patience_s(request))
         except StoreRefusedError as error:
             self._refuse(request, 503, STORE_RETRY_S, f"lot not kept: {error}")
         except StoreError as error:
@@ -312,7 +312,7 @@
     The rest of the trainer's time is left for another try at another gateway.
     """
     left = time_left_s(request.headers)
-    return SETTLE_S if left is None else min(PATIENCE_MOST_S, left * PATIENCE_SHARE)
+    return RETRY_FOR_S if left is None else min(PATIENCE_MOST_S, left * PATIENCE_SHARE)
 
 
 __all__ = ["EdgeHandler"]
--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -16,7 +16,7 @@
 
     from threadramp.fleet.clock import Clock
     from threadramp.lots.journal import LotJournal
-    from threadramp.lots.model import KeptHead, Result
+    from threadramp.lots.model import Result, StoredHead
     from threadramp.lots.owned import OwnedLot, OwnedLots
     from threadramp.report.metrics import Metrics
 
@@ -25,7 +25,7 @@
 RETRY_PAUSE_S = 0.4  # after a write that the store did not take
 
 
-class Appending:
+class ResultAppender:
     """Writes the results of all owned lots, one write at a time for each.
 
     :param on_other_owner: called when a lot has changed hands
@@ -87,10 +87,10 @@
             self._listed(lot, grown, chunk, started)
 
     def _listed(
-        self, lot: OwnedLot, grown: KeptHead, chunk: tuple[Result, ...], started: float
+        self, lot: OwnedLot, grown: StoredHead, chunk: tuple[Result, ...], started: float
     ) -> None:
         with self.owned.lock:
-            lot.sure_at = started
+            lot.ownership_confirmed_at = started
             lot.kept = grown
             lot.book.appended(chunk)
             self.owned.tell_listed()
@@ -115,4 +115,4 @@
         return behind
 
 
-__all__ = ["Appending"]
+__all__ = ["ResultAppender"]
--- a/src/threadramp/lots/audit.py
+++ b/src/threadramp/lots/audit.py
@@ -16,7 +16,7 @@
     from collections.abc import Iterable
 
     from threadramp.fleet.picture import Member
-    from threadramp.lots.model import KeptHead
+    from threadramp.lots.model import StoredHead
     from threadramp.lots.owner import LotOwner
 
 AUDIT_S = 10.0  # how often the heads in the store are looked through; each look is a priced call
@@ -97,7 +97,7 @@
         heads = self.journal.heads()
         for kept in heads:
             if kept.head.ended:
-                self.owner.ended_elsewhere(kept)
+                self.owner.apply_end(kept)
         self._remove_old(heads)
         idle = [
             kept for kept in heads if not kept.head.ended and self.owned.get(kept.lot_id) is None
@@ -117,13 +117,13 @@
             except (NotOwnerError, LotMissingError) as error:
                 log_state("not_adopted", lot=kept.lot_id, error=str(error))
 
-    def _remove_old(self, heads: list[KeptHead]) -> None:
+    def _remove_old(self, heads: list[StoredHead]) -> None:
         """Remove the lots that fall to this gateway and that nobody may ask for any more."""
         limit = self.clock.time_of_day() - self.kept_s
         lookers = regular_lookers(self._live())
         for kept in heads:
             mine = rendezvous(kept.lot_id, lookers)[0] == self.peers.member.name
-            if not mine or not kept.head.ended or kept.head.handed_in > limit:
+            if not mine or not kept.head.ended or kept.head.submitted_at > limit:
                 continue
             try:
                 is_gone = self.journal.remove(kept)
@@ -174,7 +174,7 @@
     return rendezvous("regular looks", sorted(live))[:REGULAR_LOOKERS]
 
 
-def heir_of(kept: KeptHead, live: dict[str, Member]) -> str:
+def heir_of(kept: StoredHead, live: dict[str, Member]) -> str:
     """Return the gateway that a lot falls to: its owner's box while a gateway lives there."""
     if kept.head.owner in live:
         return kept.head.owner
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -26,7 +26,7 @@
 LIVED_ON = (RunOutcome.WHOLE, RunOutcome.FAILED, RunOutcome.IMPOSSIBLE)
 
 
-class SampleGuard:
+class SampleCrashGuard:
     """One for the lots of a gateway.
 
     :param guard: of all requests of this process
@@ -105,4 +105,4 @@
     return not lot.book.ended and state.phase is Phase.RUNNING and state.runner == runner
 
 
-__all__ = ["SampleGuard", "sample_fingerprint"]
+__all__ = ["SampleCrashGuard", "sample_fingerprint"]
--- a/src/threadramp/lots/runners.py
+++ b/src/threadramp/lots/dispatcher.py
@@ -8,9 +8,9 @@
 
 from threadramp.core.lot_book import Phase
 from threadramp.fleet.runner_members import RunnerMembers
-from threadramp.lots.hurrying import HurriedLoads
-from threadramp.lots.moving import SampleMoves
-from threadramp.lots.news import RunnerNews
+from threadramp.lots.runner_updates import RunnerUpdates
+from threadramp.lots.sample_moves import SampleMoves
+from threadramp.lots.urgent_loads import UrgentLoads
 from threadramp.policy.sample_placement import RunnerView, place
 from threadramp.report.guard import start_loop
 from threadramp.report.log import log_state
@@ -30,7 +30,7 @@
 
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.peers import Peers
-    from threadramp.lots.crashing_samples import SampleGuard
+    from threadramp.lots.crashing_samples import SampleCrashGuard
     from threadramp.lots.owned import OwnedLot, OwnedLots
     from threadramp.wire.fleet import AnyReply
 
@@ -44,7 +44,7 @@
 FIND_TIMEOUT_S = 0.4
 
 
-class Runners:
+class SampleDispatcher:
     """Sends samples to sidecars and collects their text.
 
     :param on_scoring: called with a lot and a sample whose text is whole
@@ -57,19 +57,19 @@
         peers: Peers,
         clock: Clock,
         on_scoring: Callable[[OwnedLot, str], None],
-        samples: SampleGuard,
+        samples: SampleCrashGuard,
     ) -> None:
         self.samples = samples
         self.owned = owned
         self.peers = peers
         self.clock = clock
-        self.news = RunnerNews(owned, clock, on_scoring, samples)
+        self.news = RunnerUpdates(owned, clock, on_scoring, samples)
         self.members = RunnerMembers(peers, clock)
         self.views: dict[str, RunnerView] = {}
         self.collectors: set[str] = set()
         self.asked: frozenset[str] = frozenset()
         self.moves = SampleMoves(owned, clock, self._cut)
-        self.hurried = HurriedLoads(owned, peers, clock)
+        self.hurried = UrgentLoads(owned, peers, clock)
         self.lock = threading.Lock()
         self.stopped = threading.Event()
 
@@ -318,4 +318,4 @@
             self.news.take(view, self.owned.open(), reply)
 
 
-__all__ = ["Runners"]
+__all__ = ["SampleDispatcher"]
--- a/src/threadramp/lots/end_notices.py
+++ b/src/threadramp/lots/end_notices.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.peers import Peers
-    from threadramp.lots.model import KeptHead
+    from threadramp.lots.model import StoredHead
 
 TOLD_FOR_S = 8.0  # a gateway that was not listed, frozen or cut off is in touch again by then
 URGENT_S = 3.0  # samples may begin for so long after an end on the users' sheets
@@ -32,7 +32,7 @@
     def __init__(self, peers: Peers, clock: Clock) -> None:
         self.peers = peers
         self.clock = clock
-        self.open: dict[str, tuple[KeptHead, float]] = {}
+        self.open: dict[str, tuple[StoredHead, float]] = {}
         self.lock = threading.Lock()
         self.any_open = threading.Event()
         self.stopped = threading.Event()
@@ -41,7 +41,7 @@
         """Start telling."""
         start_loop(self._run, self.stopped)
 
-    def tell(self, kept: KeptHead) -> None:
+    def tell(self, kept: StoredHead) -> None:
         """Let the others know of an end that the store keeps."""
         with self.lock:
             self.open.setdefault(kept.lot_id, (kept, self.clock.now() + TOLD_FOR_S))
@@ -73,7 +73,7 @@
         age = TOLD_FOR_S - (newest - self.clock.now())
         return TURN_S if age < URGENT_S else LATER_TURN_S
 
-    def _runner_of(self, kept: KeptHead) -> str:
+    def _runner_of(self, kept: StoredHead) -> str:
         """Tell all gateways; returns the one that ran the lot, empty if none said so.
 
         One that is not listed may run it: it is told before it has listed itself again.
--- a/src/threadramp/lots/finding.py
+++ b/src/threadramp/lots/head_lookup.py
@@ -19,25 +19,25 @@
     from threadramp.fleet.peers import Peers
     from threadramp.fleet.picture import Member
     from threadramp.lots.journal import LotJournal
-    from threadramp.lots.model import KeptHead
+    from threadramp.lots.model import StoredHead
 
 ASK_TIMEOUT_S = 0.3  # for one read of the store behind it; then it is read here
 
 
-class LotFinder:
+class HeadLookup:
     """Reads heads for the readers of one gateway, and for the gateways around it.
 
     :param known: returns the head of a lot that this gateway runs or has read, none if it has not
     """
 
     def __init__(
-        self, journal: LotJournal, peers: Peers, known: Callable[[str], KeptHead | None]
+        self, journal: LotJournal, peers: Peers, known: Callable[[str], StoredHead | None]
     ) -> None:
         self.journal = journal
         self.peers = peers
         self.known = known
 
-    def head(self, lot_id: str) -> KeptHead | None:
+    def head(self, lot_id: str) -> StoredHead | None:
         """Return a lot's head; none if the store itself says that there is no such lot.
 
         :raises StoreError: if no answer came
@@ -69,4 +69,4 @@
         return None if chosen == self.peers.member.name else near[chosen]
 
 
-__all__ = ["LotFinder"]
+__all__ = ["HeadLookup"]
--- a/src/threadramp/lots/journal.py
+++ b/src/threadramp/lots/journal.py
@@ -13,15 +13,15 @@
 
 from threadramp.lots.checkpoints import TEXT_PREFIX
 from threadramp.lots.model import (
-    KeptHead,
-    KeptLot,
     LotHead,
+    StoredHead,
+    StoredLot,
     decode_head,
     decode_lot,
     decode_results,
     encode,
 )
-from threadramp.lots.repeated_writes import SETTLE_S, RepeatedWrites
+from threadramp.lots.retried_writes import RETRY_FOR_S, RetriedWrites
 from threadramp.platform.store_model import (
     ABSENT,
     MAX_ENTRIES,
@@ -66,7 +66,7 @@
     def __init__(self, store: StoreClient) -> None:
         self.store = store
 
-    def create(self, lot: Lot, head: LotHead, patience_s: float = SETTLE_S) -> KeptHead | None:
+    def create(self, lot: Lot, head: LotHead, patience_s: float = RETRY_FOR_S) -> StoredHead | None:
         """Keep a new lot; none if the store has it already.
 
         :param patience_s: for so long it is tried while the store is away or silent
@@ -77,15 +77,15 @@
         parts = [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
         head = msgspec.structs.replace(head, parts=len(parts), nonce=_nonce())
         puts = [Put(_part_key(lot.id, number), part) for number, part in enumerate(parts)]
-        writes = RepeatedWrites(self.store, patience_s, waits=True)
+        writes = RetriedWrites(self.store, patience_s, waits=True)
         for put in puts[1:]:
             writes.send(Transaction(puts=(put,)))
         key = HEAD_PREFIX + lot.id
         transaction = Transaction({key: ABSENT}, (puts[0], Put(key, encode(head))))
         answer = writes.settle(key, transaction, head.nonce)
-        return KeptHead(lot.id, head, answer.revision) if isinstance(answer, Committed) else None
+        return StoredHead(lot.id, head, answer.revision) if isinstance(answer, Committed) else None
 
-    def append(self, kept: KeptHead, results: Sequence[Result]) -> KeptHead:
+    def append(self, kept: StoredHead, results: Sequence[Result]) -> StoredHead:
         """Keep results at the next positions.
 
         :raises NotOwnerError: if the lot changed hands
@@ -98,7 +98,7 @@
         )
         return self._advance(kept, grown, (put,))
 
-    def change(self, kept: KeptHead, **fields: object) -> KeptHead:
+    def change(self, kept: StoredHead, **fields: object) -> StoredHead:
         """Change fields of the head, such as its owner or that it has ended.
 
         :raises NotOwnerError: if the head changed meanwhile
@@ -106,7 +106,7 @@
         """
         return self._advance(kept, msgspec.structs.replace(kept.head, nonce=_nonce(), **fields), ())
 
-    def head(self, lot_id: str) -> KeptHead | None:
+    def head(self, lot_id: str) -> StoredHead | None:
         """Read a lot's head; none if the store has no such lot.
 
         :raises StoreError: if no answer came
@@ -114,14 +114,14 @@
         item = self.store.get(HEAD_PREFIX + lot_id)
         return None if item is None else _kept(item)
 
-    def heads(self) -> list[KeptHead]:
+    def heads(self) -> list[StoredHead]:
         """Read the heads of all lots.
 
         :raises StoreError: if no answer came
         """
         return [_kept(item) for item in self.store.list(HEAD_PREFIX).items]
 
-    def load(self, lot_id: str) -> KeptLot:
+    def load(self, lot_id: str) -> StoredLot:
         """Read a whole lot.
 
         :raises LotMissingError: if the store has no such lot
@@ -132,14 +132,14 @@
             raise LotMissingError(lot_id)
         return self.whole(kept)
 
-    def whole(self, kept: KeptHead) -> KeptLot:
+    def whole(self, kept: StoredHead) -> StoredLot:
         """Read what stands behind a head.
 
         :raises StoreError: if no answer came
         """
-        return KeptLot(kept, self.hand_in(kept), self.results(kept, 0))
+        return StoredLot(kept, self.hand_in(kept), self.results(kept, 0))
 
-    def hand_in(self, kept: KeptHead) -> Lot:
+    def hand_in(self, kept: StoredHead) -> Lot:
         """Read what was handed in.
 
         :raises StoreError: if no answer came
@@ -147,7 +147,7 @@
         keys = [_part_key(kept.lot_id, number) for number in range(kept.head.parts)]
         return decode_lot(b"".join(self._value(key) for key in keys))
 
-    def results(self, kept: KeptHead, first_chunk: int) -> tuple[Result, ...]:
+    def results(self, kept: StoredHead, first_chunk: int) -> tuple[Result, ...]:
         """Read the results of all chunks from ``first_chunk`` on.
 
         :raises StoreError: if no answer came
@@ -166,7 +166,7 @@
         items = self.store.list(f"{CHUNK_PREFIX}{lot_id}/", direct_when_shut=True).items
         return {item.key: item.value for item in items}
 
-    def remove(self, kept: KeptHead) -> bool:
+    def remove(self, kept: StoredHead) -> bool:
         """Remove a lot that nobody may ask for any more; false if another stands there by now.
 
         All of it goes under its head's revision, and the head last: what is done late, or by one
@@ -187,13 +187,13 @@
                 return key not in answer.current  # done before, or by another box
         return True
 
-    def _advance(self, kept: KeptHead, head: LotHead, puts: tuple[Put, ...]) -> KeptHead:
+    def _advance(self, kept: StoredHead, head: LotHead, puts: tuple[Put, ...]) -> StoredHead:
         key = HEAD_PREFIX + kept.lot_id
         transaction = Transaction({key: kept.revision}, (*puts, Put(key, encode(head))))
-        writes = RepeatedWrites(self.store, SETTLE_S, waits=False)
+        writes = RetriedWrites(self.store, RETRY_FOR_S, waits=False)
         answer = writes.settle(key, transaction, head.nonce)
         if isinstance(answer, Committed):
-            return KeptHead(kept.lot_id, head, answer.revision)
+            return StoredHead(kept.lot_id, head, answer.revision)
         current = answer.current.get(key)
         if current is None:
             raise LotMissingError(kept.lot_id)
@@ -206,8 +206,8 @@
         return item.value
 
 
-def _kept(item: Item) -> KeptHead:
-    return KeptHead(item.key.removeprefix(HEAD_PREFIX), decode_head(item.value), item.revision)
+def _kept(item: Item) -> StoredHead:
+    return StoredHead(item.key.removeprefix(HEAD_PREFIX), decode_head(item.value), item.revision)
 
 
 def _part_key(lot_id: str, number: int) -> str:
--- a/src/threadramp/lots/model.py
+++ b/src/threadramp/lots/model.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-USUAL_RANK = 5  # what engines take where none is named
+DEFAULT_RANK = 5  # what engines take where none is named
 
 
 class Reward(msgspec.Struct, frozen=True, array_like=True):
@@ -96,7 +96,7 @@
 
     owner: str
     incarnation: str
-    handed_in: float
+    submitted_at: float
     result_target_s: float
     give_up_s: float
     max_attempts: int
@@ -107,7 +107,7 @@
     listed: int
     ended: bool
     nonce: str
-    rank: int = USUAL_RANK
+    rank: int = DEFAULT_RANK
 
 
 class SavedText(msgspec.Struct, frozen=True, array_like=True):
@@ -125,7 +125,7 @@
     lineage: str
 
 
-class KeptHead(msgspec.Struct, frozen=True, array_like=True):
+class StoredHead(msgspec.Struct, frozen=True, array_like=True):
     """A lot's head with the revision at which it stands."""
 
     lot_id: str
@@ -133,10 +133,10 @@
     revision: int
 
 
-class KeptLot(msgspec.Struct, frozen=True, array_like=True):
+class StoredLot(msgspec.Struct, frozen=True, array_like=True):
     """A whole lot as the store has it."""
 
-    kept: KeptHead
+    kept: StoredHead
     lot: Lot
     results: tuple[Result, ...]
 
@@ -153,8 +153,8 @@
 
 
 __all__ = [
-    "KeptHead",
-    "KeptLot",
+    "StoredHead",
+    "StoredLot",
     "Lot",
     "LotHead",
     "Result",
--- a/src/threadramp/lots/owned.py
+++ b/src/threadramp/lots/owned.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable, Iterable
 
     from threadramp.core.lot_book import LotBook
-    from threadramp.lots.model import KeptHead, Result
+    from threadramp.lots.model import Result, StoredHead
 
 MAX_PAGE_CHARACTERS = 600_000  # a page of results may have a megabyte
 
@@ -27,10 +27,10 @@
     """
 
     book: LotBook
-    kept: KeptHead
+    kept: StoredHead
     looked: bool = False
     others: bool = False
-    sure_at: float = float("-inf")
+    ownership_confirmed_at: float = float("-inf")
 
     @property
     def lot_id(self) -> str:
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -8,10 +8,10 @@
 
 from threadramp.core.lot_book import LotBook, LotRules
 from threadramp.lots.journal import LotMissingError, NotOwnerError
-from threadramp.lots.kept_texts import KeptTexts
-from threadramp.lots.latest_ends import LatestEnds
-from threadramp.lots.model import KeptLot, LotHead
+from threadramp.lots.model import LotHead, StoredLot
 from threadramp.lots.owned import OwnedLot
+from threadramp.lots.partial_texts import PartialTexts
+from threadramp.lots.recent_ends import RecentEnds
 from threadramp.platform.store_model import StoreError
 from threadramp.policy.lengths import Lengths
 from threadramp.policy.routing import rendezvous
@@ -27,7 +27,7 @@
     from threadramp.fleet.picture import Member
     from threadramp.lots.checkpoints import Checkpoints
     from threadramp.lots.journal import LotJournal
-    from threadramp.lots.model import KeptHead, Lot, SavedText
+    from threadramp.lots.model import Lot, SavedText, StoredHead
     from threadramp.lots.owned import OwnedLots
     from threadramp.policy.listing import Listing
 
@@ -54,7 +54,7 @@
         clock: Clock,
         drop: Callable[[OwnedLot, bool], None],
         checkpoints: Checkpoints,
-        tell_end: Callable[[KeptHead], None],
+        tell_end: Callable[[StoredHead], None],
         listing: Listing | None = None,
     ) -> None:
         self.owned = owned
@@ -65,13 +65,13 @@
         self.checkpoints = checkpoints
         self.tell_end = tell_end
         self.listing = listing
-        self.texts = KeptTexts()
+        self.texts = PartialTexts()
         self.lengths: dict[str, Lengths] = {}
         self.stopped = threading.Event()
         self.leaving = False
-        self.ends = LatestEnds()
+        self.ends = RecentEnds()
 
-    def hand_in(self, lot: Lot, route: Route, patience_s: float) -> None:
+    def submit(self, lot: Lot, route: Route, patience_s: float) -> None:
         """Keep a lot and start on it; a lot that is kept already stays as it is.
 
         :param patience_s: for so long it is tried while the store is away or silent
@@ -104,12 +104,12 @@
         if kept is None:
             return False
         ended = self._end_kept(kept)
-        self.ended_elsewhere(ended)  # it may have been taken over here meanwhile
+        self.apply_end(ended)  # it may have been taken over here meanwhile
         if ended.revision != kept.revision:  # else it had ended before, and that was told
             self.tell_end(ended)
         return True
 
-    def ended_elsewhere(self, kept: KeptHead) -> bool:
+    def apply_end(self, kept: StoredHead) -> bool:
         """Stop working on a lot whose end is kept; false if it does not run here.
 
         One that is being taken over now was read before its end: it is ended once it is.
@@ -127,14 +127,14 @@
         self.owned.remove(owned.lot_id)
         self.drop(owned, True)
 
-    def adopt(self, whole: KeptLot) -> None:
+    def adopt(self, whole: StoredLot) -> None:
         """Take over a lot that its owner gives away."""
         me = self.peers.member
         head = whole.kept.head
         if (head.owner, head.incarnation) == (me.name, me.incarnation):
             self._add(whole, "a gateway that stops", False, {})  # it has let go of the lot
 
-    def take_over(self, kept: KeptHead) -> None:
+    def take_over(self, kept: StoredHead) -> None:
         """Take over a lot that lies idle, from what the store has of it.
 
         :raises NotOwnerError: if somebody else took it over meanwhile
@@ -167,7 +167,7 @@
         return LotHead(
             owner=self.peers.member.name,
             incarnation=self.peers.member.incarnation,
-            handed_in=self.clock.time_of_day(),
+            submitted_at=self.clock.time_of_day(),
             result_target_s=route.result_target_s,
             give_up_s=route.give_up_s,
             max_attempts=route.max_attempts,
@@ -193,7 +193,7 @@
         except (StoreError, NotOwnerError, LotMissingError) as error:
             log_state("hand_over_failed", lot=owned.lot_id, error=str(error))
             return True
-        whole = KeptLot(kept, owned.book.lot, tuple(owned.book.listed))
+        whole = StoredLot(kept, owned.book.lot, tuple(owned.book.listed))
         ask = Adopt(*self.peers.myself, whole)
         if self.peers.ask(heir.address, ask, HAND_OVER_TIMEOUT_S) is None:
             log_state("heir_silent", lot=owned.lot_id, to=heir.name)
@@ -204,7 +204,7 @@
         log_state("handed_over", lot=owned.lot_id, to=heir.name)
         return True
 
-    def _begin(self, lot: Lot, kept: KeptHead) -> None:
+    def _begin(self, lot: Lot, kept: StoredHead) -> None:
         """Start on a lot that has just been kept."""
         rules = rules_of(kept.head, self.clock.now())
         book = LotBook(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
@@ -223,7 +223,7 @@
             reused=reused,
         )
 
-    def _end_kept(self, kept: KeptHead) -> KeptHead:
+    def _end_kept(self, kept: StoredHead) -> StoredHead:
         """Write the end, over any change that another owner makes meanwhile."""
         for _ in range(END_TRIES):
             if kept.head.ended:
@@ -237,7 +237,7 @@
                 kept = found
         raise StoreError(f"the head of {kept.lot_id} changed at each of {END_TRIES} tries")
 
-    def _ended(self, owned: OwnedLot, kept: KeptHead) -> None:
+    def _ended(self, owned: OwnedLot, kept: StoredHead) -> None:
         """Stop working on a lot whose end is kept."""
         with self.owned.lock:
             owned.kept = kept
@@ -249,7 +249,7 @@
         self.drop(owned, True)
         self.checkpoints.forget(owned.lot_id)
 
-    def _add(self, whole: KeptLot, of: str, others: bool, texts: dict[str, SavedText]) -> None:
+    def _add(self, whole: StoredLot, of: str, others: bool, texts: dict[str, SavedText]) -> None:
         """Start on a lot that was taken over.
 
         :param of: whose it was
@@ -277,18 +277,18 @@
         )
         end = self.ends.of(kept.lot_id)
         if end is not None:
-            self.ended_elsewhere(end)
+            self.apply_end(end)
 
     def _lengths_of(self, lot: Lot) -> Lengths:
         """Return what was learned of the lengths of a model's samples."""
         return self.lengths.setdefault(lot.model, Lengths())
 
-    def _rules_again(self, kept: KeptHead) -> LotRules:
+    def _rules_again(self, kept: StoredHead) -> LotRules:
         """Return the rules of a lot that was handed in some time ago, perhaps at another box.
 
         No sample may be given up early: where that box's clock is behind, the lot seems older.
         """
-        age = max(0.0, self.clock.time_of_day() - kept.head.handed_in)
+        age = max(0.0, self.clock.time_of_day() - kept.head.submitted_at)
         rules = rules_of(kept.head, self.clock.now() - age)
         return replace(rules, give_up_at=rules.give_up_at + CLOCK_SKEW_S)
 
--- a/src/threadramp/lots/kept_texts.py
+++ b/src/threadramp/lots/partial_texts.py
@@ -10,7 +10,7 @@
 KEPT_TEXTS = 400  # samples of ended lots whose text may serve a later lot
 
 
-class KeptTexts:
+class PartialTexts:
     """Texts by sample, the oldest forgotten first."""
 
     def __init__(self) -> None:
@@ -35,4 +35,4 @@
         return used
 
 
-__all__ = ["KeptTexts"]
+__all__ = ["PartialTexts"]
--- a/src/threadramp/lots/reading.py
+++ b/src/threadramp/lots/reading.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
-from threadramp.lots.elsewhere import LotsElsewhere, LotUnknownError
+from threadramp.lots.remote_lots import LotUnknownError, RemoteLots
 from threadramp.platform.store_model import StoreError
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import LotPage, SampleBody
@@ -15,7 +15,7 @@
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.peers import Peers
     from threadramp.lots.journal import LotJournal
-    from threadramp.lots.model import KeptHead
+    from threadramp.lots.model import StoredHead
     from threadramp.lots.owned import OwnedLots, Page
     from threadramp.lots.owner import LotOwner
     from threadramp.wire.fleet import ReadBody, ReadLot
@@ -35,7 +35,7 @@
         self.journal = journal
         self.peers = peers
         self.clock = clock
-        self.elsewhere = LotsElsewhere(journal, peers, owned)
+        self.remote_lots = RemoteLots(journal, peers, owned)
         self.looked: OrderedDict[str, tuple[float, int]] = OrderedDict()
         self.lock = threading.Lock()
 
@@ -46,7 +46,7 @@
         :raises StoreError: if nobody who is sure could be reached
         """
         page = self._own_page(lot_id, after, wait_s)
-        return page if page is not None else self.elsewhere.page(lot_id, after, wait_s)
+        return page if page is not None else self.remote_lots.page(lot_id, after, wait_s)
 
     def body(self, lot_id: str, sample: str) -> bytes | None:
         """Return the body of a sample, none if there is no such sample.
@@ -58,7 +58,7 @@
         if owned is not None:
             state = owned.book.states.get(sample)
             return state.sample.body if state is not None else None
-        return self.elsewhere.body(lot_id, sample)
+        return self.remote_lots.body(lot_id, sample)
 
     def end(self, lot_id: str) -> None:
         """End a lot.
@@ -66,7 +66,7 @@
         :raises LotUnknownError: if there is no such lot
         :raises StoreError: if the end is not known to be kept
         """
-        if self.owned.get(lot_id) is None and self.elsewhere.end(lot_id):
+        if self.owned.get(lot_id) is None and self.remote_lots.end(lot_id):
             return
         if not self.owner.end(lot_id):
             raise LotUnknownError(lot_id)
@@ -107,9 +107,9 @@
     def _is_sure(self, lot_id: str) -> bool:
         """Return whether a write of ours lately showed that a lot is ours."""
         owned = self.owned.get(lot_id)
-        return owned is not None and self.clock.now() - owned.sure_at < LOOK_S
+        return owned is not None and self.clock.now() - owned.ownership_confirmed_at < LOOK_S
 
-    def _head_if_listed(self, lot_id: str, after: int) -> KeptHead | None:
+    def _head_if_listed(self, lot_id: str, after: int) -> StoredHead | None:
         """Return a lot's head if the store has a result at a position, looked up now and then.
 
         Whoever answers that nothing stands there must be sure: the owner may have changed without
@@ -132,7 +132,7 @@
                 self.looked.popitem(last=False)
         return kept if kept.head.listed > after else None
 
-    def _let_go(self, lot_id: str, kept: KeptHead) -> None:
+    def _let_go(self, lot_id: str, kept: StoredHead) -> None:
         owned = self.owned.get(lot_id)
         if owned is not None:
             log_state("lot_changed_hands", lot=lot_id, owner=kept.head.owner, seen="by a reader")
--- a/src/threadramp/lots/elsewhere.py
+++ b/src/threadramp/lots/remote_lots.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from threadramp.lots.finding import LotFinder
+from threadramp.lots.head_lookup import HeadLookup
 from threadramp.lots.owned import Page, first_page
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import EndLot, LotEnded, LotPage, ReadBody, ReadLot, SampleBody
@@ -16,7 +16,7 @@
     from threadramp.fleet.peers import Peers
     from threadramp.fleet.picture import Member
     from threadramp.lots.journal import LotJournal
-    from threadramp.lots.model import KeptHead, Lot, Result
+    from threadramp.lots.model import Lot, Result, StoredHead
     from threadramp.lots.owned import OwnedLots
     from threadramp.wire.fleet import FindLot, LotFound
 
@@ -36,19 +36,19 @@
     :param lot: what was handed in, none while nobody asked for it
     """
 
-    kept: KeptHead
+    kept: StoredHead
     results: list[Result] = field(default_factory=list)
     lot: Lot | None = None
 
 
-class LotsElsewhere:
+class RemoteLots:
     """The lots that other gateways own, as this one sees them."""
 
     def __init__(self, journal: LotJournal, peers: Peers, owned: OwnedLots) -> None:
         self.journal = journal
         self.peers = peers
         self.owned = owned
-        self.finder = LotFinder(journal, peers, self._known)
+        self.finder = HeadLookup(journal, peers, self._known)
         self.cache: OrderedDict[str, CachedLot] = OrderedDict()
         self.lock = threading.Lock()
 
@@ -103,14 +103,14 @@
                 self._keep(ask.lot, found.kept)
         return found
 
-    def _known(self, lot_id: str) -> KeptHead | None:
+    def _known(self, lot_id: str) -> StoredHead | None:
         owned = self.owned.get(lot_id)
         if owned is not None:
             return owned.kept
         cached = self.cache.get(lot_id)
         return None if cached is None else cached.kept
 
-    def _keep(self, lot_id: str, kept: KeptHead) -> CachedLot:
+    def _keep(self, lot_id: str, kept: StoredHead) -> CachedLot:
         """Keep a head, the one that was kept first if there is one; the lock is held."""
         cached = self.cache.setdefault(lot_id, CachedLot(kept))
         while len(self.cache) > CACHED_LOTS:
@@ -179,4 +179,4 @@
         return Page(kept.head.total, kept.head.ended, first_page(cached.results[after:]))
 
 
-__all__ = ["LotUnknownError", "LotsElsewhere"]
+__all__ = ["LotUnknownError", "RemoteLots"]
--- a/src/threadramp/lots/repeated_writes.py
+++ b/src/threadramp/lots/retried_writes.py
@@ -18,12 +18,12 @@
     from threadramp.platform.store import StoreClient
     from threadramp.platform.store_model import Conflict, Transaction
 
-SETTLE_S = 2.0  # for so long a write without an answer is sent again; a trainer waits for it
+RETRY_FOR_S = 2.0  # for so long a write without an answer is sent again; a trainer waits for it
 PAUSE_S = 0.05  # before a write is sent again; doubles with each further time
 PAUSE_MOST_S = 0.4  # the store's outages take seconds
 
 
-class RepeatedWrites:
+class RetriedWrites:
     """The writes of one change to a lot, which share the time for them.
 
     :param patience_s: for so long they may be sent again
@@ -89,4 +89,4 @@
         self.next_pause_s = min(PAUSE_MOST_S, 2 * self.next_pause_s)
 
 
-__all__ = ["SETTLE_S", "RepeatedWrites"]
+__all__ = ["RETRY_FOR_S", "RetriedWrites"]
--- a/src/threadramp/lots/news.py
+++ b/src/threadramp/lots/runner_updates.py
@@ -11,14 +11,14 @@
     from collections.abc import Callable
 
     from threadramp.fleet.clock import Clock
-    from threadramp.lots.crashing_samples import SampleGuard
+    from threadramp.lots.crashing_samples import SampleCrashGuard
     from threadramp.lots.owned import OwnedLot, OwnedLots
     from threadramp.policy.sample_placement import RunnerView
     from threadramp.wire.fleet import Updates
     from threadramp.wire.runner import RunnerStatus, RunUpdate
 
 
-class RunnerNews:
+class RunnerUpdates:
     """Notes what sidecars answer, and that one is lost.
 
     :param on_scoring: called with a lot and a sample whose text is whole
@@ -30,7 +30,7 @@
         owned: OwnedLots,
         clock: Clock,
         on_scoring: Callable[[OwnedLot, str], None],
-        samples: SampleGuard,
+        samples: SampleCrashGuard,
     ) -> None:
         self.samples = samples
         self.owned = owned
@@ -123,4 +123,4 @@
             }
 
 
-__all__ = ["RunnerNews"]
+__all__ = ["RunnerUpdates"]
--- a/src/threadramp/lots/names.py
+++ b/src/threadramp/lots/scoped_ids.py
@@ -14,7 +14,7 @@
 TAG_MOST = 48  # characters; a key of the store has 200 bytes for the name, an id and a prefix
 
 
-def kept_name(organisation: str | None, given: str) -> str:
+def scoped_id(organisation: str | None, given: str) -> str:
     """Return the name under which a lot or a sample is kept.
 
     :param organisation: whose it is, empty or none if nobody's in particular
@@ -25,12 +25,12 @@
     return f"{_tag(organisation)}{SEPARATOR}{given}"
 
 
-def given_name(kept: str) -> str:
+def unscoped_id(kept: str) -> str:
     """Return the id that the caller chose."""
     return kept.rpartition(SEPARATOR)[2]
 
 
-def is_sound(given: str) -> bool:
+def is_valid_id(given: str) -> bool:
     """Return whether an id that a caller chose can be kept apart from those of others."""
     return SEPARATOR not in given
 
@@ -43,4 +43,4 @@
     return "#" + sha256(organisation.encode()).hexdigest()[:32]  # quoting leaves no such sign
 
 
-__all__ = ["given_name", "is_sound", "kept_name"]
+__all__ = ["unscoped_id", "is_valid_id", "scoped_id"]
--- a/src/threadramp/lots/hurrying.py
+++ b/src/threadramp/lots/urgent_loads.py
@@ -20,7 +20,7 @@
 ASK_TIMEOUT_S = 0.4
 
 
-class HurriedLoads:
+class UrgentLoads:
     """Lets sidecars load out of their turn."""
 
     def __init__(self, owned: OwnedLots, peers: Peers, clock: Clock) -> None:
@@ -52,4 +52,4 @@
             return [(book.lot.model, book.lot.min_version) for book in books if book.waiting(now)]
 
 
-__all__ = ["HurriedLoads"]
+__all__ = ["UrgentLoads"]
--- a/src/threadramp/platform/trainer_calls.py
+++ b/src/threadramp/platform/trainer_calls.py
@@ -13,7 +13,7 @@
 
 from threadramp.config.findings import Finding, FindingsError
 from threadramp.lots.model import Lot, Reward, Sample
-from threadramp.lots.names import given_name, is_sound, kept_name
+from threadramp.lots.scoped_ids import is_valid_id, scoped_id, unscoped_id
 from threadramp.platform.headers import length_guess, whole_number
 
 if TYPE_CHECKING:
@@ -50,8 +50,8 @@
 
     def of(self, organisation: str | None) -> LotCall:
         """Return this call about the lot that an organisation keeps under its name."""
-        sample = self.sample and kept_name(organisation, self.sample)
-        return replace(self, lot=kept_name(organisation, self.lot), sample=sample)
+        sample = self.sample and scoped_id(organisation, self.sample)
+        return replace(self, lot=scoped_id(organisation, self.lot), sample=sample)
 
 
 class _Reward(msgspec.Struct):
@@ -95,7 +95,7 @@
     except msgspec.DecodeError as error:
         raise FindingsError([Finding("body", str(error))]) from error
     findings: list[Finding] = []
-    if not is_sound(lot_id):
+    if not is_valid_id(lot_id):
         findings.append(Finding("id", "has a sign that sets names apart here"))
     samples = [
         _sample(place, row, organisation, findings) for place, row in enumerate(found.requests)
@@ -107,7 +107,7 @@
     if findings:
         raise FindingsError(findings)
     return Lot(
-        id=kept_name(organisation, lot_id),
+        id=scoped_id(organisation, lot_id),
         host=host,
         path=path,
         step=found.step,
@@ -125,7 +125,7 @@
     :param target: path and query as the caller sent them
     """
     call = _call(method, target)
-    return call if call is not None and is_sound(call.lot) and is_sound(call.sample) else None
+    return call if call is not None and is_valid_id(call.lot) and is_valid_id(call.sample) else None
 
 
 def _call(method: str, target: str) -> LotCall | None:
@@ -152,7 +152,7 @@
 
 def _row(result: Result) -> dict[str, object]:
     row: dict[str, object] = {
-        "id": given_name(result.sample),
+        "id": unscoped_id(result.sample),
         "state": result.state.value,
         "text": result.text,
         "versions": result.versions,
@@ -164,11 +164,11 @@
 
 def _sample(place: int, row: _Sample, organisation: str | None, findings: list[Finding]) -> Sample:
     where = f"requests[{place}]"
-    if not is_sound(row.id):
+    if not is_valid_id(row.id):
         findings.append(Finding(f"{where}.id", "has a sign that sets names apart here"))
     reward = row.scoringEndpoint
     return Sample(
-        id=kept_name(organisation, row.id),
+        id=scoped_id(organisation, row.id),
         path=row.path,
         headers=tuple(row.headers.items()),
         body=_bytes(f"{where}.body", row.body, findings),
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -142,7 +142,7 @@
                 phases[state.phase.value] = phases.get(state.phase.value, 0) + 1
                 if state.runner:
                     runners[state.runner] = runners.get(state.runner, 0) + 1
-            ago_s = round(self.clock.now() - owned.sure_at, 2)
+            ago_s = round(self.clock.now() - owned.ownership_confirmed_at, 2)
         yield Fact("samples by phase", str(phases), "own lots", 0.0)
         yield Fact("samples by runner", str(runners), "own lots", 0.0)
         listed = f"{owned.kept.head.listed} at revision {owned.kept.revision}"
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -9,7 +9,7 @@
 
 from threadramp.core.lot_book import RunOutcome
 from threadramp.edge.exchange import ExchangeError, body_pieces, is_broken, streamed_answer
-from threadramp.lots.names import given_name
+from threadramp.lots.scoped_ids import unscoped_id
 from threadramp.platform.headers import OTHER_INSTANCE_STATUS, read_answer, sample_headers
 from threadramp.report.log import log_state
 from threadramp.runner.engine_ends import has_ended
@@ -80,7 +80,7 @@
 
     def _execute(self) -> None:
         endpoint = self.engine.endpoint()
-        ident = given_name(self.run.order.sample.id)
+        ident = unscoped_id(self.run.order.sample.id)
         now = self.clock.now()
         exchange = self.engine.connections.open(endpoint, now, CONNECT_S, ident=ident)
         if not self._register(exchange):
@@ -112,7 +112,7 @@
         order = self.run.order
         headers = sample_headers(
             (*order.sample.headers, ("Host", order.host)),
-            given_name(order.sample.id),
+            unscoped_id(order.sample.id),
             max(1.0, order.give_up_in_s),
             self.start.instance,
             self.run.count,
--- a/src/threadramp/serve/answers.py
+++ b/src/threadramp/serve/answers.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.duties.turns import Duties
+    from threadramp.duties.duty_loop import DutyLoop
     from threadramp.fleet.crash_sharing import CrashSharing
     from threadramp.fleet.peers import Peers
     from threadramp.fleet.relaying import StoreCalls
@@ -61,7 +61,7 @@
         hosting: HostedRunners | None = None,
         beliefs: Beliefs | None = None,
         crashes: CrashSharing | None = None,
-        duties: Duties | None = None,
+        duties: DutyLoop | None = None,
     ) -> None:
         self.beliefs = beliefs or Beliefs()
         self.hosting = hosting
@@ -72,7 +72,7 @@
         self.by_kind: dict[type, Callable[[Any], AnyReply]] = {
             MirrorBeat: lambda ask: peers.sharing.copy_for(ask),
             MirrorChanges: self._take_changes,
-            FindLot: lambda ask: reader.elsewhere.find_for_peer(ask),
+            FindLot: lambda ask: reader.remote_lots.find_for_peer(ask),
             ReadLot: lambda ask: reader.page_for_peer(ask),
             ReadBody: lambda ask: reader.body_for_peer(ask),
             EndLot: self._end,
@@ -86,8 +86,8 @@
             self.by_kind[CrashesTold] = crashes.heard
             self.by_kind[Acquit] = crashes.acquit
         if duties is not None:
-            self.by_kind[ReadUsage] = duties.collecting.counting.answer
-            self.by_kind[UsageLeft] = duties.take_last
+            self.by_kind[ReadUsage] = duties.collector.counter.answer
+            self.by_kind[UsageLeft] = duties.receive_final_counts
         if hosting is not None:
             self.by_kind |= dict.fromkeys(OF_RUNNERS, hosting.handle)
 
@@ -101,7 +101,7 @@
         return Done()
 
     def _end_kept(self, ask: EndKept) -> LotEnded:
-        runs_here = self.owner.ended_elsewhere(ask.kept)
+        runs_here = self.owner.apply_end(ask.kept)
         return LotEnded(runs_here, runs_here)
 
     def _adopt(self, ask: Adopt) -> Done:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -6,11 +6,11 @@
 from dataclasses import asdict
 from random import Random
 
-from threadramp.duties.collecting import UsageCollecting, UsageCounting
-from threadramp.duties.demand import DemandCounting
-from threadramp.duties.holding import DutyHolding
+from threadramp.duties.collecting import UsageCollector, UsageCounter
+from threadramp.duties.demand import DemandCounter
+from threadramp.duties.duty_lock import DutyLock
+from threadramp.duties.duty_loop import DutyLoop
 from threadramp.duties.scale_orders import ScaleOrders
-from threadramp.duties.turns import Duties
 from threadramp.duties.usage_reports import UsageReports
 from threadramp.edge.caller_watch import CallerWatch
 from threadramp.edge.connections import Connections
@@ -29,16 +29,16 @@
 from threadramp.fleet.relaying import StoreCalls
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.fleet.watcher import GATHER_S, WATCH_WAIT_S, Watcher, gather_s, watch_wait_s
-from threadramp.lots.appending import Appending
+from threadramp.lots.appending import ResultAppender
 from threadramp.lots.audit import LotAudit
 from threadramp.lots.checkpoints import Checkpoints
-from threadramp.lots.crashing_samples import SampleGuard
+from threadramp.lots.crashing_samples import SampleCrashGuard
+from threadramp.lots.dispatcher import SampleDispatcher
 from threadramp.lots.end_notices import EndNotices
 from threadramp.lots.journal import LotJournal
 from threadramp.lots.owned import OwnedLots
 from threadramp.lots.owner import LotOwner
 from threadramp.lots.reading import LotReader
-from threadramp.lots.runners import Runners
 from threadramp.lots.scoring import Scoring
 from threadramp.platform.duty_calls import DutyCalls
 from threadramp.platform.store import StoreClient
@@ -120,7 +120,7 @@
             time.sleep(STOP_LOOK_S)
         if self.duties is not None:
             until = max(last, steady_s() + LEAVE_S)
-            in_background(lambda: self.duties.tell_last(until)).join(until - steady_s())
+            in_background(lambda: self.duties.send_final_counts(until)).join(until - steady_s())
         in_background(self.membership.leave).join(LEAVE_S)
 
     def _wait_until_quiet(self, least: float, most: float) -> None:
@@ -182,13 +182,13 @@
             self.duties,
         )
 
-    def _new_duties(self, store: StoreClient, clock: Clock) -> Duties | None:
+    def _new_duties(self, store: StoreClient, clock: Clock) -> DutyLoop | None:
         """Return this gateway's part in the fleet's duties, none where the platform takes none."""
         own = self.settings
         if self.counting is None:
             return None
-        collecting = UsageCollecting(self.peers, self.counting, self.true_time)
-        holding = DutyHolding(
+        collecting = UsageCollector(self.peers, self.counting, self.true_time)
+        holding = DutyLock(
             self.picture,
             store,
             own.name,
@@ -203,7 +203,7 @@
             right, store, calls, collecting, schedule, self.true_time, self.metrics
         )
         scale = ScaleOrders(right, calls, collecting, self.picture, self.metrics)
-        return Duties(
+        return DutyLoop(
             self.peers,
             holding,
             collecting,
@@ -211,13 +211,13 @@
             scale if own.duties.takes_scale else None,
         )
 
-    def _new_counting(self) -> UsageCounting | None:
+    def _new_counting(self) -> UsageCounter | None:
         """Return what counts requests for their organisations, none where nobody asks for it."""
         own = self.settings
         if own.duties is None or not (own.duties.takes_usage or own.duties.takes_scale):
             return None
         window_s = own.bounds.usage_window_s
-        return UsageCounting(window_s, self.true_time, own.name, self.incarnation)
+        return UsageCounter(window_s, self.true_time, own.name, self.incarnation)
 
     def _beliefs(self, clock: Clock) -> Beliefs:
         """Return what tells an operator what this process believes."""
@@ -271,11 +271,11 @@
         self.picture.endpoints.listeners.append(forwarder.forget_gone)
         owned = OwnedLots()
         if self.counting is not None:
-            self.counting.open = DemandCounting(self.picture, forwarder.choice, owned).open
+            self.counting.open = DemandCounter(self.picture, forwarder.choice, owned).open
         journal = LotJournal(store)
         scoring = Scoring(owned, self.picture, forwarder, clock)
-        self.runners = Runners(
-            owned, self.peers, clock, scoring.begin, SampleGuard(self.guard, owned)
+        self.runners = SampleDispatcher(
+            owned, self.peers, clock, scoring.begin, SampleCrashGuard(self.guard, owned)
         )
         self.checkpoints = Checkpoints(owned, store, self.incarnation)
         self.end_notices = EndNotices(self.peers, clock)
@@ -291,7 +291,7 @@
         )
         self.audit = LotAudit(self.owner, self.settings.bounds.status_s)
         self.reader = LotReader(owned, self.owner, journal, self.peers, clock)
-        self.appending = Appending(
+        self.appending = ResultAppender(
             owned,
             journal,
             clock,
--- a/src/threadramp/wire/fleet.py
+++ b/src/threadramp/wire/fleet.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from threadramp.lots.model import KeptHead, KeptLot, Result
+from threadramp.lots.model import Result, StoredHead, StoredLot
 from threadramp.platform.store_model import Call, Item, RawAnswer, Removal
 from threadramp.wire.crashes import CrashNews
 from threadramp.wire.runner import Facts, RunnerStatus, RunOrder, RunUpdate
@@ -207,13 +207,13 @@
 class EndKept(Ask, frozen=True):
     """The end of a lot that the sender wrote to the store; the receiver may run that lot."""
 
-    kept: KeptHead
+    kept: StoredHead
 
 
 class Adopt(Ask, frozen=True):
     """A lot that the receiver owns now, as the store has it."""
 
-    kept: KeptLot
+    kept: StoredLot
 
 
 class Status(Message, frozen=True):
@@ -287,7 +287,7 @@
 class LotFound(Message, frozen=True):
     """The head of a lot, none if the answering gateway has none."""
 
-    kept: KeptHead | None
+    kept: StoredHead | None
 
 
 class SampleBody(Message, frozen=True):
--- a/src/threadramp/wire/runner.py
+++ b/src/threadramp/wire/runner.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from threadramp.fleet.model import Start, WeightTarget
-from threadramp.lots.model import USUAL_RANK, Sample
+from threadramp.lots.model import DEFAULT_RANK, Sample
 from threadramp.policy.model_share import ModelShare
 
 ANY_MODEL = "*"  # where weights change and it is not known of which model
@@ -87,7 +87,7 @@
     new_lineage: str
     due: float
     give_up_in_s: float
-    rank: int = USUAL_RANK
+    rank: int = DEFAULT_RANK
     model: str = ""
     organisation: str | None = None
 
--- a/tests/duties/test_collecting.py
+++ b/tests/duties/test_collecting.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from threadramp.duties.collecting import UsageCollecting, UsageCounting
+from threadramp.duties.collecting import UsageCollector, UsageCounter
 from threadramp.fleet.picture import Member
 from threadramp.policy.true_time import SURE_S, TrueTime
 from threadramp.policy.usage_book import KEPT_WINDOWS
@@ -17,9 +17,9 @@
 class Others:
     """One other gateway, which answers or not."""
 
-    def __init__(self, clock, counting) -> None:
+    def __init__(self, clock, counter) -> None:
         self.clock = clock
-        self.counting = counting
+        self.counter = counter
         self.member = Member("me", "gateway", "i1", "10.0.0.1:7720", "a", "")
         self.myself = ("me", "10.0.0.1:7720")
         self.answers = True
@@ -35,12 +35,12 @@
     def ask_all(self, asks, timeout_s):
         if not self.answers:
             return {}
-        return {address: self.counting.answer(ask) for address, ask in asks.items()}
+        return {address: self.counter.answer(ask) for address, ask in asks.items()}
 
 
 @pytest.fixture
-def other(clock) -> UsageCounting:
-    return UsageCounting(WINDOW_S, TrueTime(clock), "other", "i2")
+def other(clock) -> UsageCounter:
+    return UsageCounter(WINDOW_S, TrueTime(clock), "other", "i2")
 
 
 @pytest.fixture
@@ -49,66 +49,66 @@
 
 
 @pytest.fixture
-def collecting(clock, peers) -> UsageCollecting:
+def collector(clock, peers) -> UsageCollector:
     true_time = TrueTime(clock)
-    return UsageCollecting(peers, UsageCounting(WINDOW_S, true_time, "me", "i1"), true_time)
+    return UsageCollector(peers, UsageCounter(WINDOW_S, true_time, "me", "i1"), true_time)
 
 
-def test_counts_of_both_come_together(clock, collecting, other):
-    window = collecting.counting.book.window_at(collecting.true_time.now())
-    collecting.counting.began("acme", clock.now())
-    other.began("acme", clock.now())
-    other.began(None, clock.now())
-    other.began("", clock.now())
-    assert collecting.round() == 1
-    assert collecting.total(window) == {"acme": 2}
+def test_counts_of_both_come_together(clock, collector, other):
+    window = collector.counter.book.window_at(collector.true_time.now())
+    collector.counter.count_sent("acme", clock.now())
+    other.count_sent("acme", clock.now())
+    other.count_sent(None, clock.now())
+    other.count_sent("", clock.now())
+    assert collector.round() == 1
+    assert collector.total(window) == {"acme": 2}
 
 
-def test_one_that_does_not_answer_is_missed(clock, collecting, peers):
+def test_one_that_does_not_answer_is_missed(clock, collector, peers):
     clock.at += SURE_S
-    since = collecting.true_time.now() - 1.0
-    collecting.round()
-    assert collecting.all_told(since)
+    since = collector.true_time.now() - 1.0
+    collector.round()
+    assert collector.all_told(since)
     peers.answers = False
     clock.at += 5.0
     for rounds in (1, 2):
-        collecting.round()
-        assert collecting.unanswered == {"other": rounds}
-    assert not collecting.all_told(since + 5.0)
+        collector.round()
+        assert collector.unanswered == {"other": rounds}
+    assert not collector.all_told(since + 5.0)
 
 
-def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collecting, other):
+def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collector, other):
     """It kept all of them: only the holder forgot, by what it had reported."""
     for _ in range(4 * KEPT_WINDOWS):
-        other.began("acme", clock.now())
-        collecting.round()
+        other.count_sent("acme", clock.now())
+        collector.round()
         clock.at += WINDOW_S
-    kept = {window for told in collecting.table.told.values() for window in told.windows}
+    kept = {window for told in collector.table.told.values() for window in told.windows}
     assert len(kept) <= KEPT_WINDOWS + 1
 
 
 @pytest.mark.parametrize("ahead", [-7.0, 7.0])
 def test_what_was_counted_before_the_time_was_known_is_counted_where_it_belongs(clock, ahead):
     """A box serves calls at once, and hears from others only later that its clock is off."""
-    counting = counting_of_a_box_that_is(ahead, clock)
-    window = counting.book.window_at(clock.time_of_day())
+    counter = counter_of_a_box_that_is(ahead, clock)
+    window = counter.book.window_at(clock.time_of_day())
     for _ in range(3):
-        counting.began("acme", clock.now())
-    counting.did_not_begin("acme", clock.now())
+        counter.count_sent("acme", clock.now())
+    counter.uncount("acme", clock.now())
     clock.at += 0.5
-    assert not counting.answer(ask_of("first", clock)).is_sure
-    told = counting.answer(ask_of("second", clock))
+    assert not counter.answer(ask_of("first", clock)).is_sure
+    told = counter.answer(ask_of("second", clock))
     assert told.is_sure
     assert told.windows[window] == {"acme": 2}
-    assert told.windows.get(counting.book.window_at(clock.time_of_day() + ahead), {}) == {}
+    assert told.windows.get(counter.book.window_at(clock.time_of_day() + ahead), {}) == {}
 
 
-def counting_of_a_box_that_is(ahead: float, clock) -> UsageCounting:
+def counter_of_a_box_that_is(ahead: float, clock) -> UsageCounter:
     truth = clock.time_of_day
     clock.time_of_day = lambda: truth() + ahead
-    counting = UsageCounting(WINDOW_S, TrueTime(clock), "off", "i3")
+    counter = UsageCounter(WINDOW_S, TrueTime(clock), "off", "i3")
     clock.time_of_day = truth
-    return counting
+    return counter
 
 
 def ask_of(name: str, clock) -> ReadUsage:
@@ -121,7 +121,7 @@
     clock.time_of_day = lambda: truth() + 7.0
     true_time = TrueTime(clock)
     clock.time_of_day = truth
-    collecting = UsageCollecting(peers, UsageCounting(WINDOW_S, true_time, "me", "i1"), true_time)
+    collector = UsageCollector(peers, UsageCounter(WINDOW_S, true_time, "me", "i1"), true_time)
     ask_all = peers.ask_all
 
     def asked_all(asks, timeout_s):
@@ -130,18 +130,18 @@
 
     peers.ask_all = asked_all
     clock.at += SURE_S
-    collecting.round()
-    assert not collecting.all_told(truth() + 1.0)
+    collector.round()
+    assert not collector.all_told(truth() + 1.0)
     clock.at += 1.1
-    collecting.round()
-    assert collecting.all_told(truth() - 0.1)
+    collector.round()
+    assert collector.all_told(truth() - 0.1)
 
 
-def test_an_answer_of_one_that_may_still_move_requests_is_not_waited_for_in_vain(clock, collecting):
+def test_an_answer_of_one_that_may_still_move_requests_is_not_waited_for_in_vain(clock, collector):
     """Two gateways alone never hear of a third; after a while what they tell counts."""
-    since = collecting.true_time.now() - 0.1
-    collecting.round()
-    assert not collecting.all_told(since)
+    since = collector.true_time.now() - 0.1
+    collector.round()
+    assert not collector.all_told(since)
     clock.at += SURE_S
-    collecting.round()
-    assert collecting.all_told(since)
+    collector.round()
+    assert collector.all_told(since)
--- a/tests/duties/test_turns.py
+++ b/tests/duties/test_duty_loop.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.stores import MemoryStore
-from threadramp.duties.turns import Duties
+from threadramp.duties.duty_loop import DutyLoop
 from threadramp.fleet.picture import Member
 from threadramp.fleet.rights import Right, read_right
 
@@ -58,14 +58,14 @@
     return MemoryStore()
 
 
-def gateway(box, store, clock) -> Duties:
+def gateway(box, store, clock) -> DutyLoop:
     made = []
     holding = Holding(store, box, clock, lambda: made[0])
-    made.append(Duties(Fleet(box, clock), holding, Collecting(), None))
+    made.append(DutyLoop(Fleet(box, clock), holding, Collecting(), None))
     return made[0]
 
 
-def first_holder(store, clock) -> Duties:
+def first_holder(store, clock) -> DutyLoop:
     """Return the gateway that takes the duties where nobody has them."""
     for name in NAMES:
         one = gateway(name, store, clock)
@@ -131,24 +131,24 @@
         return dict.fromkeys(list(asks)[:1] if len(self.asked) > self.unanswered else ())
 
 
-def stopping(store, clock, unanswered: int) -> Duties:
+def stopping(store, clock, unanswered: int) -> DutyLoop:
     holding = Holding(store, "front-0", clock, lambda: None)
     holding.holder = lambda: "front-2"  # its heir; front-1 collects beside it
-    collecting = Collecting()
-    collecting.counting = Counting()
-    return Duties(HeldUpPeers(clock, unanswered), holding, collecting, None)
+    collector = Collecting()
+    collector.counter = Counting()
+    return DutyLoop(HeldUpPeers(clock, unanswered), holding, collector, None)
 
 
 def test_last_counts_are_told_until_each_collector_answered(store, clock):
     """Told once, they were lost where a process was held up; a report lacked one request of six."""
     one = stopping(store, clock, 2)
-    one.tell_last(clock.at + 60.0)
+    one.send_final_counts(clock.at + 60.0)
     assert [len(asked) for asked in one.peers.asked] == [2, 2, 2, 1]
 
 
 def test_last_counts_are_not_told_for_longer_than_the_stop_may_take(store, clock):
     one = stopping(store, clock, 99)
     until = clock.at + 1.2
-    one.tell_last(until)
+    one.send_final_counts(until)
     assert clock.at <= until + 0.5
     assert len(one.peers.asked) == 3
--- a/tests/lots/test_checkpoints.py
+++ b/tests/lots/test_checkpoints.py
@@ -6,7 +6,7 @@
 
 from tests.core.test_lot_book import make_book, make_sample, start
 from threadramp.lots.checkpoints import Checkpoints, joined
-from threadramp.lots.model import KeptHead, LotHead, SavedText
+from threadramp.lots.model import LotHead, SavedText, StoredHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
 from threadramp.platform.store import StoreClient
 
@@ -17,7 +17,7 @@
 def lot() -> OwnedLot:
     book = make_book(make_sample("a", "g"), make_sample("b", "g"))
     start(book, "a", "s1")
-    return OwnedLot(book, KeptHead("lot", HEAD, 1))
+    return OwnedLot(book, StoredHead("lot", HEAD, 1))
 
 
 @pytest.fixture
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -300,7 +300,7 @@
     def told_meanwhile(head):
         found = whole(head)
         running.owner.end("lot")
-        other.owner.ended_elsewhere(running.journal.head("lot"))
+        other.owner.apply_end(running.journal.head("lot"))
         return found
 
     other.journal.whole = told_meanwhile
--- a/tests/lots/test_finding.py
+++ b/tests/lots/test_head_lookup.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.lots.test_end_notices import HEAD, Gateway, LocalClient, book_of
-from threadramp.lots.elsewhere import LotUnknownError
+from threadramp.lots.remote_lots import LotUnknownError
 from threadramp.policy.routing import rendezvous
 
 NAMES = [f"g{n}" for n in range(8)]
@@ -33,7 +33,7 @@
 
 
 def found_by(gateway: Gateway):
-    return gateway.reader.elsewhere._cached("lot").kept
+    return gateway.reader.remote_lots._cached("lot").kept
 
 
 def test_a_data_centre_reads_it_once(fleet, platform_store):
--- a/tests/lots/test_owner.py
+++ b/tests/lots/test_owner.py
@@ -12,14 +12,14 @@
 from threadramp.lots.audit import LOOKERS, heir_of, is_look_due, lookers_for, regular_lookers
 from threadramp.lots.checkpoints import Checkpoints
 from threadramp.lots.journal import LotJournal
-from threadramp.lots.model import KeptHead, Lot, LotHead, Sample
+from threadramp.lots.model import Lot, LotHead, Sample, StoredHead
 from threadramp.lots.owned import OwnedLots
 from threadramp.lots.owner import LotOwner
 
 
-def kept(owner: str, lot_id: str = "lot") -> KeptHead:
+def kept(owner: str, lot_id: str = "lot") -> StoredHead:
     head = LotHead(owner, "old", 0.0, 7.5, 40.0, 3, False, 1, 1, 0, 0, False, "")
-    return KeptHead(lot_id, head, 1)
+    return StoredHead(lot_id, head, 1)
 
 
 def live(*names: str) -> dict[str, Member]:
@@ -120,10 +120,10 @@
     lot = Lot("lot", "host", "/p/", 0, "m", 1, 1, (sample,))
     shares = (PoolShare("pool", 1.0),)
     route = Route("r", "host", "/p/", RouteKind.SAMPLES, shares, 2.0, 1.0, 3, give_up_s=GIVE_UP_S)
-    handed_in = clock.at
-    first.hand_in(lot, route, patience_s=1.0)
+    submitted_at = clock.at
+    first.submit(lot, route, patience_s=1.0)
     clock.at += 5.0
     heir.take_over(heir.journal.head("lot"))
     taken = heir.owned.get("lot").book
-    assert taken.rules.give_up_at > handed_in + GIVE_UP_S
-    assert taken.rules.give_up_at < handed_in + GIVE_UP_S + 15.0  # and not for long after
+    assert taken.rules.give_up_at > submitted_at + GIVE_UP_S
+    assert taken.rules.give_up_at < submitted_at + GIVE_UP_S + 15.0  # and not for long after
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -9,11 +9,11 @@
 from threadramp.fleet.peers import Peers
 from threadramp.fleet.picture import Member, Picture
 from threadramp.fleet.store_health import StoreHealth
-from threadramp.lots.elsewhere import LotUnknownError
 from threadramp.lots.journal import LotJournal
 from threadramp.lots.model import LotHead, Result, ResultState
 from threadramp.lots.owned import OwnedLot, OwnedLots
 from threadramp.lots.reading import LOOK_S, LotReader
+from threadramp.lots.remote_lots import LotUnknownError
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Item, Listing, StoreError
 from threadramp.wire.fleet import LotPage, ReadLot
@@ -149,7 +149,7 @@
 def test_an_owner_whose_write_was_just_taken_needs_no_look(world, platform_store):
     world.append("a")
     world.own()
-    world.owned.get("lot").sure_at = world.clock.now()
+    world.owned.get("lot").ownership_confirmed_at = world.clock.now()
     before = platform_store.counts["reads"]
     assert world.names(1) == []
     assert platform_store.counts["reads"] == before
--- a/tests/lots/test_moving.py
+++ b/tests/lots/test_sample_moves.py
@@ -7,9 +7,9 @@
 from tests.core.test_lot_book import make_book, make_sample, start
 from tests.policy.test_moves import view
 from threadramp.core.lot_book import Phase
-from threadramp.lots.model import KeptHead
-from threadramp.lots.moving import SampleMoves
+from threadramp.lots.model import StoredHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
+from threadramp.lots.sample_moves import SampleMoves
 from threadramp.policy.moves import SETTLED_EVENTS
 
 EXPECTED = 150  # events; nothing is known of tokens yet
@@ -20,7 +20,7 @@
     clock.at = 50.0
     made = OwnedLots()
     book = make_book(make_sample("a", "g", expected=EXPECTED))
-    made.add(OwnedLot(book, KeptHead("lot", None, 1)))
+    made.add(OwnedLot(book, StoredHead("lot", None, 1)))
     return made
 
 
--- a/tests/lots/test_hurrying.py
+++ b/tests/lots/test_urgent_loads.py
@@ -9,9 +9,9 @@
 from tests.core.test_lot_book import make_book, make_sample, start
 from tests.policy.test_moves import view
 from threadramp.fleet.picture import Member
-from threadramp.lots.hurrying import AGAIN_S, HurriedLoads
-from threadramp.lots.model import KeptHead
+from threadramp.lots.model import StoredHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
+from threadramp.lots.urgent_loads import AGAIN_S, UrgentLoads
 from threadramp.wire.fleet import HurryLoad
 
 
@@ -28,12 +28,12 @@
 
 
 @pytest.fixture
-def hurried(clock) -> HurriedLoads:
+def hurried(clock) -> UrgentLoads:
     clock.at = 50.0
     owned = OwnedLots()
     book = make_book(make_sample("a", "g"), min_version=4)
-    owned.add(OwnedLot(book, KeptHead("lot", None, 1)))
-    return HurriedLoads(owned, Peers(), clock)
+    owned.add(OwnedLot(book, StoredHead("lot", None, 1)))
+    return UrgentLoads(owned, Peers(), clock)
 
 
 def test_engines_are_asked_once_in_a_while_for_a_lot_that_none_can_run(hurried, clock):
