--- a/src/threadramp/duties/duty_lock.py
+++ b/src/threadramp/duties/duty_lock.py
@@ -40,7 +40,7 @@
         self.picture = picture
         self.box = box
         # What is done under it is proven by a write of its own, or by asking the store for it.
-        self.right = Right(store, DUTIES_KEY, box, apart_s, clock, may_take)
+        self.lock = Right(store, DUTIES_KEY, box, apart_s, clock, may_take)
 
     def holder(self) -> str:
         """Return who holds the right as far as this gateway knows, empty if nobody does."""
@@ -50,9 +50,9 @@
 
     def usable_number(self) -> int:
         """Return the number of the right now, 0 if it may not be used."""
-        if self.right.number and self.holder() not in ("", self.box):
-            self.right.doubt()  # or the list of members does not show yet that it is ours
-        return self.right.usable_number()
+        if self.lock.number and self.holder() not in ("", self.box):
+            self.lock.doubt()  # or the list of members does not show yet that it is ours
+        return self.lock.usable_number()
 
     def is_mine(self) -> bool:
         """Return whether this gateway holds it as far as it knows."""
--- a/src/threadramp/duties/duty_loop.py
+++ b/src/threadramp/duties/duty_loop.py
@@ -75,7 +75,7 @@
         holder that answers them, 5 s and more while it stops.
         """
         if self.holding.is_mine():
-            self.holding.right.usable_number()  # learns its number, if it is not known yet
+            self.holding.lock.usable_number()  # learns its number, if it is not known yet
         self.leaving = True
         if not self.holding.is_mine():
             return
@@ -83,7 +83,7 @@
         heirs = [name for name in in_order(self._names()) if name not in unanswered]
         heirs = [name for name in heirs if name != self._me]
         try:
-            self.holding.right.give_to(heirs[0] if heirs else "")
+            self.holding.lock.give_to(heirs[0] if heirs else "")
         except StoreError as error:  # it is taken over once this gateway does not answer
             log_state("duties_not_handed_over", error=str(error))
 
@@ -93,7 +93,7 @@
         if not collects(self._me, holder, self._names()):
             return
         self.answered = self.collector.round()
-        if self.leaving or not (self.holding.right.number or self.may_take(None)):
+        if self.leaving or not (self.holding.lock.number or self.may_take(None)):
             return
         number = self.holding.usable_number()
         if not number:
--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -69,7 +69,7 @@
     def _append(self, lot: OwnedLot, chunk: tuple[Result, ...]) -> None:
         started = self.clock.now()
         try:
-            grown = self.journal.append(lot.kept, chunk)
+            grown = self.journal.append(lot.stored, chunk)
             self.metrics.latency("append", self.clock.now() - started)
         except (NotOwnerError, LotMissingError) as error:
             log_state("lot_changed_hands", lot=lot.lot_id, error=str(error))
@@ -91,7 +91,7 @@
     ) -> None:
         with self.owned.lock:
             lot.ownership_confirmed_at = started
-            lot.kept = grown
+            lot.stored = grown
             lot.book.appended(chunk)
             self.owned.tell_listed()
         for result in chunk:
--- a/src/threadramp/lots/audit.py
+++ b/src/threadramp/lots/audit.py
@@ -95,45 +95,49 @@
     def _audit(self) -> None:
         """Take over the open lots whose owner is gone and that fall to this gateway."""
         heads = self.journal.heads()
-        for kept in heads:
-            if kept.head.ended:
-                self.owner.apply_end(kept)
+        for stored in heads:
+            if stored.head.ended:
+                self.owner.apply_end(stored)
         self._remove_old(heads)
         idle = [
-            kept for kept in heads if not kept.head.ended and self.owned.get(kept.lot_id) is None
+            stored
+            for stored in heads
+            if not stored.head.ended and self.owned.get(stored.lot_id) is None
         ]
-        if any(kept.head.owner not in self._live() for kept in idle):
+        if any(stored.head.owner not in self._live() for stored in idle):
             self.peers.relist_members()  # a gateway that just started may not be seen yet
         live = self._live()
-        orphans = {(kept.lot_id, kept.revision) for kept in idle if kept.head.owner not in live}
+        orphans = {
+            (stored.lot_id, stored.revision) for stored in idle if stored.head.owner not in live
+        }
         left, self.orphans = self.orphans & orphans, orphans
-        for kept in idle:
+        for stored in idle:
             # An orphan since the last look: those that it falls to did not see it.
-            is_left = (kept.lot_id, kept.revision) in left
-            if not is_left and heir_of(kept, live) != self.peers.member.name:
+            is_left = (stored.lot_id, stored.revision) in left
+            if not is_left and heir_of(stored, live) != self.peers.member.name:
                 continue
             try:
-                self.owner.take_over(kept)
+                self.owner.take_over(stored)
             except (NotOwnerError, LotMissingError) as error:
-                log_state("not_adopted", lot=kept.lot_id, error=str(error))
+                log_state("not_adopted", lot=stored.lot_id, error=str(error))
 
     def _remove_old(self, heads: list[StoredHead]) -> None:
         """Remove the lots that fall to this gateway and that nobody may ask for any more."""
         limit = self.clock.time_of_day() - self.kept_s
         lookers = regular_lookers(self._live())
-        for kept in heads:
-            mine = rendezvous(kept.lot_id, lookers)[0] == self.peers.member.name
-            if not mine or not kept.head.ended or kept.head.submitted_at > limit:
+        for stored in heads:
+            mine = rendezvous(stored.lot_id, lookers)[0] == self.peers.member.name
+            if not mine or not stored.head.ended or stored.head.submitted_at > limit:
                 continue
             try:
-                is_gone = self.journal.remove(kept)
+                is_gone = self.journal.remove(stored)
             except StoreError as error:
-                log_state("lot_not_removed", lot=kept.lot_id, error=str(error))
+                log_state("lot_not_removed", lot=stored.lot_id, error=str(error))
                 continue
             if not is_gone:
                 continue
-            self.owned.remove(kept.lot_id)
-            log_state("lot_removed", lot=kept.lot_id, revision=kept.revision)
+            self.owned.remove(stored.lot_id)
+            log_state("lot_removed", lot=stored.lot_id, revision=stored.revision)
 
     def _live(self) -> dict[str, Member]:
         """Return the gateways that are believed to live, this one among them, by name."""
@@ -174,11 +178,11 @@
     return rendezvous("regular looks", sorted(live))[:REGULAR_LOOKERS]
 
 
-def heir_of(kept: StoredHead, live: dict[str, Member]) -> str:
+def heir_of(stored: StoredHead, live: dict[str, Member]) -> str:
     """Return the gateway that a lot falls to: its owner's box while a gateway lives there."""
-    if kept.head.owner in live:
-        return kept.head.owner
-    return rendezvous(kept.lot_id, lookers_for(kept.head.owner, live))[0]
+    if stored.head.owner in live:
+        return stored.head.owner
+    return rendezvous(stored.lot_id, lookers_for(stored.head.owner, live))[0]
 
 
 __all__ = ["LotAudit", "heir_of", "is_look_due", "lookers_for", "regular_lookers"]
--- a/src/threadramp/lots/dispatcher.py
+++ b/src/threadramp/lots/dispatcher.py
@@ -300,7 +300,7 @@
             new_lineage=secrets.token_hex(4),
             due=book.rules.due - self.clock.now(),
             give_up_in_s=book.rules.give_up_at - self.clock.now(),
-            rank=lot.kept.head.rank,
+            rank=lot.stored.head.rank,
             model=book.lot.model,
             organisation=book.lot.organisation,
         )
--- a/src/threadramp/lots/end_notices.py
+++ b/src/threadramp/lots/end_notices.py
@@ -41,22 +41,22 @@
         """Start telling."""
         start_loop(self._run, self.stopped)
 
-    def tell(self, kept: StoredHead) -> None:
+    def notify(self, stored: StoredHead) -> None:
         """Let the others know of an end that the store keeps."""
         with self.lock:
-            self.open.setdefault(kept.lot_id, (kept, self.clock.now() + TOLD_FOR_S))
+            self.open.setdefault(stored.lot_id, (stored, self.clock.now() + TOLD_FOR_S))
         self.any_open.set()
 
     def one_turn(self) -> bool:
         """Tell what is to be told; true if there is more to tell later."""
         with self.lock:
             notices = list(self.open.values())
-        for kept, until in notices:
-            runner = self._runner_of(kept)
+        for stored, until in notices:
+            runner = self._runner_of(stored)
             if runner or self.clock.now() >= until:
-                log_state("end_told", lot=kept.lot_id, gateway=runner, revision=kept.revision)
+                log_state("end_told", lot=stored.lot_id, gateway=runner, revision=stored.revision)
                 with self.lock:
-                    del self.open[kept.lot_id]
+                    del self.open[stored.lot_id]
         with self.lock:
             return bool(self.open)
 
@@ -73,13 +73,13 @@
         age = TOLD_FOR_S - (newest - self.clock.now())
         return TURN_S if age < URGENT_S else LATER_TURN_S
 
-    def _runner_of(self, kept: StoredHead) -> str:
+    def _runner_of(self, stored: StoredHead) -> str:
         """Tell all gateways; returns the one that ran the lot, empty if none said so.
 
         One that is not listed may run it: it is told before it has listed itself again.
         """
         gateways = self.peers.gateways_lately()
-        ask = EndKept(*self.peers.myself, kept)
+        ask = EndKept(*self.peers.myself, stored)
         replies = self.peers.ask_all({one.address: ask for one in gateways}, ANSWER_S)
         for one in gateways:
             reply = replies.get(one.address)
--- a/src/threadramp/lots/head_lookup.py
+++ b/src/threadramp/lots/head_lookup.py
@@ -55,8 +55,8 @@
 
         :raises StoreError: if no answer came
         """
-        kept = self.known(ask.lot)
-        return LotFound(kept if kept is not None else self.journal.head(ask.lot))
+        stored = self.known(ask.lot)
+        return LotFound(stored if stored is not None else self.journal.head(ask.lot))
 
     def _finder(self, lot_id: str) -> Member | None:
         """Return the gateway that is asked, none if that is this one."""
--- a/src/threadramp/lots/journal.py
+++ b/src/threadramp/lots/journal.py
@@ -85,26 +85,28 @@
         answer = writes.settle(key, transaction, head.nonce)
         return StoredHead(lot.id, head, answer.revision) if isinstance(answer, Committed) else None
 
-    def append(self, kept: StoredHead, results: Sequence[Result]) -> StoredHead:
+    def append(self, stored: StoredHead, results: Sequence[Result]) -> StoredHead:
         """Keep results at the next positions.
 
         :raises NotOwnerError: if the lot changed hands
         :raises StoreError: if it is not known to be kept
         """
-        head = kept.head
-        put = Put(_chunk_key(kept.lot_id, head.chunks), encode(tuple(results)))
+        head = stored.head
+        put = Put(_chunk_key(stored.lot_id, head.chunks), encode(tuple(results)))
         grown = msgspec.structs.replace(
             head, chunks=head.chunks + 1, listed=head.listed + len(results), nonce=_nonce()
         )
-        return self._advance(kept, grown, (put,))
+        return self._advance(stored, grown, (put,))
 
-    def change(self, kept: StoredHead, **fields: object) -> StoredHead:
+    def change(self, stored: StoredHead, **fields: object) -> StoredHead:
         """Change fields of the head, such as its owner or that it has ended.
 
         :raises NotOwnerError: if the head changed meanwhile
         :raises StoreError: if it is not known to be kept
         """
-        return self._advance(kept, msgspec.structs.replace(kept.head, nonce=_nonce(), **fields), ())
+        return self._advance(
+            stored, msgspec.structs.replace(stored.head, nonce=_nonce(), **fields), ()
+        )
 
     def head(self, lot_id: str) -> StoredHead | None:
         """Read a lot's head; none if the store has no such lot.
@@ -127,36 +129,36 @@
         :raises LotMissingError: if the store has no such lot
         :raises StoreError: if no answer came
         """
-        kept = self.head(lot_id)
-        if kept is None:
+        stored = self.head(lot_id)
+        if stored is None:
             raise LotMissingError(lot_id)
-        return self.whole(kept)
+        return self.whole(stored)
 
-    def whole(self, kept: StoredHead) -> StoredLot:
+    def whole(self, stored: StoredHead) -> StoredLot:
         """Read what stands behind a head.
 
         :raises StoreError: if no answer came
         """
-        return StoredLot(kept, self.hand_in(kept), self.results(kept, 0))
+        return StoredLot(stored, self.hand_in(stored), self.results(stored, 0))
 
-    def hand_in(self, kept: StoredHead) -> Lot:
+    def hand_in(self, stored: StoredHead) -> Lot:
         """Read what was handed in.
 
         :raises StoreError: if no answer came
         """
-        keys = [_part_key(kept.lot_id, number) for number in range(kept.head.parts)]
+        keys = [_part_key(stored.lot_id, number) for number in range(stored.head.parts)]
         return decode_lot(b"".join(self._value(key) for key in keys))
 
-    def results(self, kept: StoredHead, first_chunk: int) -> tuple[Result, ...]:
+    def results(self, stored: StoredHead, first_chunk: int) -> tuple[Result, ...]:
         """Read the results of all chunks from ``first_chunk`` on.
 
         :raises StoreError: if no answer came
         """
-        numbers = range(first_chunk, kept.head.chunks)
-        values = self._listed_chunks(kept.lot_id) if len(numbers) > 1 else {}
+        numbers = range(first_chunk, stored.head.chunks)
+        values = self._listed_chunks(stored.lot_id) if len(numbers) > 1 else {}
         found: list[Result] = []
         for number in numbers:
-            key = _chunk_key(kept.lot_id, number)
+            key = _chunk_key(stored.lot_id, number)
             value = values.get(key)
             found.extend(decode_results(self._value(key) if value is None else value))
         return tuple(found)
@@ -166,7 +168,7 @@
         items = self.store.list(f"{CHUNK_PREFIX}{lot_id}/", direct_when_shut=True).items
         return {item.key: item.value for item in items}
 
-    def remove(self, kept: StoredHead) -> bool:
+    def remove(self, stored: StoredHead) -> bool:
         """Remove a lot that nobody may ask for any more; false if another stands there by now.
 
         All of it goes under its head's revision, and the head last: what is done late, or by one
@@ -174,29 +176,29 @@
 
         :raises StoreError: if it is not known to be removed
         """
-        key = HEAD_PREFIX + kept.lot_id
-        names = [_part_key(kept.lot_id, number) for number in range(kept.head.parts)]
-        names += [_chunk_key(kept.lot_id, number) for number in range(kept.head.chunks)]
-        names += [item.key for item in self.store.list(f"{TEXT_PREFIX}{kept.lot_id}/").items]
+        key = HEAD_PREFIX + stored.lot_id
+        names = [_part_key(stored.lot_id, number) for number in range(stored.head.parts)]
+        names += [_chunk_key(stored.lot_id, number) for number in range(stored.head.chunks)]
+        names += [item.key for item in self.store.list(f"{TEXT_PREFIX}{stored.lot_id}/").items]
         names.append(key)
         for start in range(0, len(names), REMOVED_AT_ONCE):
             some = tuple(names[start : start + REMOVED_AT_ONCE])
-            transaction = Transaction({key: kept.revision}, removals=some)
+            transaction = Transaction({key: stored.revision}, removals=some)
             answer = self.store.transact(transaction, repeatable=True)
             if not isinstance(answer, Committed):
                 return key not in answer.current  # done before, or by another box
         return True
 
-    def _advance(self, kept: StoredHead, head: LotHead, puts: tuple[Put, ...]) -> StoredHead:
-        key = HEAD_PREFIX + kept.lot_id
-        transaction = Transaction({key: kept.revision}, (*puts, Put(key, encode(head))))
+    def _advance(self, stored: StoredHead, head: LotHead, puts: tuple[Put, ...]) -> StoredHead:
+        key = HEAD_PREFIX + stored.lot_id
+        transaction = Transaction({key: stored.revision}, (*puts, Put(key, encode(head))))
         writes = RetriedWrites(self.store, RETRY_FOR_S, waits=False)
         answer = writes.settle(key, transaction, head.nonce)
         if isinstance(answer, Committed):
-            return StoredHead(kept.lot_id, head, answer.revision)
+            return StoredHead(stored.lot_id, head, answer.revision)
         current = answer.current.get(key)
         if current is None:
-            raise LotMissingError(kept.lot_id)
+            raise LotMissingError(stored.lot_id)
         raise NotOwnerError(decode_head(current.value))
 
     def _value(self, key: str) -> bytes:
--- a/src/threadramp/lots/model.py
+++ b/src/threadramp/lots/model.py
@@ -136,7 +136,7 @@
 class StoredLot(msgspec.Struct, frozen=True, array_like=True):
     """A whole lot as the store has it."""
 
-    kept: StoredHead
+    stored: StoredHead
     lot: Lot
     results: tuple[Result, ...]
 
--- a/src/threadramp/lots/owned.py
+++ b/src/threadramp/lots/owned.py
@@ -27,7 +27,7 @@
     """
 
     book: LotBook
-    kept: StoredHead
+    stored: StoredHead
     looked: bool = False
     others: bool = False
     ownership_confirmed_at: float = float("-inf")
@@ -35,7 +35,7 @@
     @property
     def lot_id(self) -> str:
         """Return the lot's id."""
-        return self.kept.lot_id
+        return self.stored.lot_id
 
 
 @dataclass(frozen=True)
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -81,11 +81,11 @@
         if self.owned.get(lot.id) is not None:
             return
         head = self._new_head(lot, route)
-        kept = self.journal.create(lot, head, patience_s)
-        if kept is None:
+        stored = self.journal.create(lot, head, patience_s)
+        if stored is None:
             log_state("lot_known", lot=lot.id)
             return
-        self._begin(lot, kept)
+        self._begin(lot, stored)
 
     def end(self, lot_id: str) -> bool:
         """End a lot, wherever it is owned; false if the store has no such lot.
@@ -94,32 +94,32 @@
         """
         owned = self.owned.get(lot_id)
         if owned is not None:
-            had_ended = owned.kept.head.ended
-            kept = self._end_kept(owned.kept)
-            self._ended(owned, kept)
+            had_ended = owned.stored.head.ended
+            stored = self._end_kept(owned.stored)
+            self._ended(owned, stored)
             if owned.others and not had_ended:
-                self.tell_end(kept)
+                self.tell_end(stored)
             return True
-        kept = self.journal.head(lot_id)
-        if kept is None:
+        stored = self.journal.head(lot_id)
+        if stored is None:
             return False
-        ended = self._end_kept(kept)
+        ended = self._end_kept(stored)
         self.apply_end(ended)  # it may have been taken over here meanwhile
-        if ended.revision != kept.revision:  # else it had ended before, and that was told
+        if ended.revision != stored.revision:  # else it had ended before, and that was told
             self.tell_end(ended)
         return True
 
-    def apply_end(self, kept: StoredHead) -> bool:
+    def apply_end(self, stored: StoredHead) -> bool:
         """Stop working on a lot whose end is kept; false if it does not run here.
 
         One that is being taken over now was read before its end: it is ended once it is.
         """
-        self.ends.note(kept)
-        owned = self.owned.get(kept.lot_id)
+        self.ends.note(stored)
+        owned = self.owned.get(stored.lot_id)
         if owned is None:
             return False
         if not owned.book.ended:
-            self._ended(owned, kept)
+            self._ended(owned, stored)
         return True
 
     def release(self, owned: OwnedLot) -> None:
@@ -130,25 +130,25 @@
     def adopt(self, whole: StoredLot) -> None:
         """Take over a lot that its owner gives away."""
         me = self.peers.member
-        head = whole.kept.head
+        head = whole.stored.head
         if (head.owner, head.incarnation) == (me.name, me.incarnation):
             self._add(whole, "a gateway that stops", False, {})  # it has let go of the lot
 
-    def take_over(self, kept: StoredHead) -> None:
+    def take_over(self, stored: StoredHead) -> None:
         """Take over a lot that lies idle, from what the store has of it.
 
         :raises NotOwnerError: if somebody else took it over meanwhile
         :raises LotMissingError: if the store has no such lot any more
         :raises StoreError: if the change of owner is not known to be kept
         """
-        if self.owned.get(kept.lot_id) is not None or self.leaving:
+        if self.owned.get(stored.lot_id) is not None or self.leaving:
             return
         me = self.peers.member
-        before = kept.head.owner
-        if (kept.head.owner, kept.head.incarnation) != (me.name, me.incarnation):
-            kept = self.journal.change(kept, owner=me.name, incarnation=me.incarnation)
-        texts = self.checkpoints.load(kept.lot_id)
-        self._add(self.journal.whole(kept), before, before != me.name, texts)
+        before = stored.head.owner
+        if (stored.head.owner, stored.head.incarnation) != (me.name, me.incarnation):
+            stored = self.journal.change(stored, owner=me.name, incarnation=me.incarnation)
+        texts = self.checkpoints.load(stored.lot_id)
+        self._add(self.journal.whole(stored), before, before != me.name, texts)
 
     def hand_over(self) -> None:
         """Give all open lots to other gateways; for a planned stop, until all are given."""
@@ -188,27 +188,27 @@
         """
         try:
             with self.owned.lock:
-                kept = owned.kept
-            kept = self.journal.change(kept, owner=heir.name, incarnation=heir.incarnation)
+                stored = owned.stored
+            stored = self.journal.change(stored, owner=heir.name, incarnation=heir.incarnation)
         except (StoreError, NotOwnerError, LotMissingError) as error:
             log_state("hand_over_failed", lot=owned.lot_id, error=str(error))
             return True
-        whole = StoredLot(kept, owned.book.lot, tuple(owned.book.listed))
+        whole = StoredLot(stored, owned.book.lot, tuple(owned.book.listed))
         ask = Adopt(*self.peers.myself, whole)
         if self.peers.ask(heir.address, ask, HAND_OVER_TIMEOUT_S) is None:
             log_state("heir_silent", lot=owned.lot_id, to=heir.name)
             with self.owned.lock:
-                owned.kept = kept
+                owned.stored = stored
             return False
         self.release(owned)
         log_state("handed_over", lot=owned.lot_id, to=heir.name)
         return True
 
-    def _begin(self, lot: Lot, kept: StoredHead) -> None:
+    def _begin(self, lot: Lot, stored: StoredHead) -> None:
         """Start on a lot that has just been kept."""
-        rules = rules_of(kept.head, self.clock.now())
+        rules = rules_of(stored.head, self.clock.now())
         book = LotBook(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
-        owned = OwnedLot(book, kept)
+        owned = OwnedLot(book, stored)
         reused = self.texts.use(owned.book)
         self.owned.add(owned)
         log_state(
@@ -218,29 +218,29 @@
             model=lot.model,
             samples=len(lot.samples),
             min_version=lot.min_version,
-            revision=kept.revision,
-            due_s=kept.head.result_target_s,
+            revision=stored.revision,
+            due_s=stored.head.result_target_s,
             reused=reused,
         )
 
-    def _end_kept(self, kept: StoredHead) -> StoredHead:
+    def _end_kept(self, stored: StoredHead) -> StoredHead:
         """Write the end, over any change that another owner makes meanwhile."""
         for _ in range(END_TRIES):
-            if kept.head.ended:
-                return kept
+            if stored.head.ended:
+                return stored
             try:
-                return self.journal.change(kept, ended=True)
+                return self.journal.change(stored, ended=True)
             except NotOwnerError:
-                found = self.journal.head(kept.lot_id)
+                found = self.journal.head(stored.lot_id)
                 if found is None:
-                    raise LotMissingError(kept.lot_id) from None
-                kept = found
-        raise StoreError(f"the head of {kept.lot_id} changed at each of {END_TRIES} tries")
+                    raise LotMissingError(stored.lot_id) from None
+                stored = found
+        raise StoreError(f"the head of {stored.lot_id} changed at each of {END_TRIES} tries")
 
-    def _ended(self, owned: OwnedLot, kept: StoredHead) -> None:
+    def _ended(self, owned: OwnedLot, stored: StoredHead) -> None:
         """Stop working on a lot whose end is kept."""
         with self.owned.lock:
-            owned.kept = kept
+            owned.stored = stored
             self.texts.keep(owned.book)
             running = owned.book.end()
             listed = len(owned.book.listed)
@@ -255,27 +255,27 @@
         :param of: whose it was
         :param others: whether another box may believe that it still is
         """
-        kept = whole.kept
+        stored = whole.stored
         lengths = self._lengths_of(whole.lot)
-        rules = self._rules_again(kept)
+        rules = self._rules_again(stored)
         book = LotBook(whole.lot, rules, whole.results, lengths, self.listing)
         reused = [
             name
             for name, text in texts.items()
             if book.prefill(name, text.events, text.versions, text.lineage)
         ]
-        if not self.owned.add(OwnedLot(book, kept, others=others)):
+        if not self.owned.add(OwnedLot(book, stored, others=others)):
             return
         log_state(
             "lot_adopted",
-            lot=kept.lot_id,
+            lot=stored.lot_id,
             of=of,
             listed=len(whole.results),
             samples=len(whole.lot.samples),
-            revision=kept.revision,
+            revision=stored.revision,
             texts=len(reused),
         )
-        end = self.ends.of(kept.lot_id)
+        end = self.ends.of(stored.lot_id)
         if end is not None:
             self.apply_end(end)
 
@@ -283,13 +283,13 @@
         """Return what was learned of the lengths of a model's samples."""
         return self.lengths.setdefault(lot.model, Lengths())
 
-    def _rules_again(self, kept: StoredHead) -> LotRules:
+    def _rules_again(self, stored: StoredHead) -> LotRules:
         """Return the rules of a lot that was handed in some time ago, perhaps at another box.
 
         No sample may be given up early: where that box's clock is behind, the lot seems older.
         """
-        age = max(0.0, self.clock.time_of_day() - kept.head.submitted_at)
-        rules = rules_of(kept.head, self.clock.now() - age)
+        age = max(0.0, self.clock.time_of_day() - stored.head.submitted_at)
+        rules = rules_of(stored.head, self.clock.now() - age)
         return replace(rules, give_up_at=rules.give_up_at + CLOCK_SKEW_S)
 
 
--- a/src/threadramp/lots/reading.py
+++ b/src/threadramp/lots/reading.py
@@ -96,11 +96,11 @@
         page = self.owned.page(lot_id, after, lambda: until - self.clock.now())
         if page is None or page.results or after >= page.total or self._is_sure(lot_id):
             return page
-        kept = self._head_if_listed(lot_id, after)
-        if kept is None:
+        stored = self._head_if_listed(lot_id, after)
+        if stored is None:
             return page
-        if (kept.head.owner, kept.head.incarnation) != self._myself():
-            self._let_go(lot_id, kept)
+        if (stored.head.owner, stored.head.incarnation) != self._myself():
+            self._let_go(lot_id, stored)
             return None
         return self.owned.page(lot_id, after, lambda: 0.0)
 
@@ -122,20 +122,20 @@
         looked_at, listed = self.looked.get(lot_id, (0.0, -1))
         if now - looked_at < LOOK_S and listed <= after:
             return None
-        kept = self.journal.head(lot_id)
-        if kept is None:
+        stored = self.journal.head(lot_id)
+        if stored is None:
             raise LotUnknownError(lot_id)
         with self.lock:
             self.looked.pop(lot_id, None)
-            self.looked[lot_id] = (now, kept.head.listed)
+            self.looked[lot_id] = (now, stored.head.listed)
             while len(self.looked) > LOOKED_MOST:
                 self.looked.popitem(last=False)
-        return kept if kept.head.listed > after else None
+        return stored if stored.head.listed > after else None
 
-    def _let_go(self, lot_id: str, kept: StoredHead) -> None:
+    def _let_go(self, lot_id: str, stored: StoredHead) -> None:
         owned = self.owned.get(lot_id)
         if owned is not None:
-            log_state("lot_changed_hands", lot=lot_id, owner=kept.head.owner, seen="by a reader")
+            log_state("lot_changed_hands", lot=lot_id, owner=stored.head.owner, seen="by a reader")
             self.owner.release(owned)
 
     def _myself(self) -> tuple[str, str]:
--- a/src/threadramp/lots/recent_ends.py
+++ b/src/threadramp/lots/recent_ends.py
@@ -21,11 +21,11 @@
         self.heads: OrderedDict[str, StoredHead] = OrderedDict()
         self.lock = threading.Lock()
 
-    def note(self, kept: StoredHead) -> None:
+    def note(self, stored: StoredHead) -> None:
         """Take note of the head of a lot whose end is kept."""
         with self.lock:
-            self.heads[kept.lot_id] = kept
-            self.heads.move_to_end(kept.lot_id)
+            self.heads[stored.lot_id] = stored
+            self.heads.move_to_end(stored.lot_id)
             if len(self.heads) > ENDS_MOST:
                 self.heads.popitem(last=False)
 
--- a/src/threadramp/lots/remote_lots.py
+++ b/src/threadramp/lots/remote_lots.py
@@ -36,7 +36,7 @@
     :param lot: what was handed in, none while nobody asked for it
     """
 
-    kept: StoredHead
+    stored: StoredHead
     results: list[Result] = field(default_factory=list)
     lot: Lot | None = None
 
@@ -60,7 +60,7 @@
         """
         cached = self._cached(lot_id)
         if after < len(cached.results):
-            return Page(cached.kept.head.total, False, first_page(cached.results[after:]))
+            return Page(cached.stored.head.total, False, first_page(cached.results[after:]))
         page = self._from_owner(cached, after, wait_s)
         return page if page is not None else self._from_store(cached, after)
 
@@ -75,7 +75,7 @@
             found = self._body_from_owner(cached, sample)
             if found is not None and found.owned:
                 return found.body
-            cached.lot = self.journal.hand_in(cached.kept)
+            cached.lot = self.journal.hand_in(cached.stored)
         bodies = {one.id: one.body for one in cached.lot.samples}
         return bodies.get(sample)
 
@@ -106,13 +106,13 @@
     def _known(self, lot_id: str) -> StoredHead | None:
         owned = self.owned.get(lot_id)
         if owned is not None:
-            return owned.kept
+            return owned.stored
         cached = self.cache.get(lot_id)
-        return None if cached is None else cached.kept
+        return None if cached is None else cached.stored
 
-    def _keep(self, lot_id: str, kept: StoredHead) -> CachedLot:
+    def _keep(self, lot_id: str, stored: StoredHead) -> CachedLot:
         """Keep a head, the one that was kept first if there is one; the lock is held."""
-        cached = self.cache.setdefault(lot_id, CachedLot(kept))
+        cached = self.cache.setdefault(lot_id, CachedLot(stored))
         while len(self.cache) > CACHED_LOTS:
             self.cache.popitem(last=False)
         return cached
@@ -123,15 +123,15 @@
             if cached is not None:
                 self.cache.move_to_end(lot_id)
                 return cached
-        kept = self.finder.head(lot_id)
-        if kept is None:
+        stored = self.finder.head(lot_id)
+        if stored is None:
             raise LotUnknownError(lot_id)
         with self.lock:
-            return self._keep(lot_id, kept)
+            return self._keep(lot_id, stored)
 
     def _owner(self, cached: CachedLot) -> Member | None:
-        member = self.peers.picture.belief.members.get(cached.kept.head.owner)
-        if member is None or member.incarnation != cached.kept.head.incarnation:
+        member = self.peers.picture.belief.members.get(cached.stored.head.owner)
+        if member is None or member.incarnation != cached.stored.head.incarnation:
             return None
         return None if member.name == self.peers.member.name else member
 
@@ -139,7 +139,7 @@
         member = self._owner(cached)
         if member is None:
             return None
-        ask = ReadLot(*self.peers.myself, cached.kept.lot_id, after, wait_s)
+        ask = ReadLot(*self.peers.myself, cached.stored.lot_id, after, wait_s)
         reply = self.peers.ask(member.address, ask, wait_s + OWNER_TIMEOUT_S)
         if not isinstance(reply, LotPage) or not reply.total:
             return None
@@ -154,29 +154,29 @@
         member = self._owner(cached)
         if member is None:
             return None
-        ask = ReadBody(*self.peers.myself, cached.kept.lot_id, sample)
+        ask = ReadBody(*self.peers.myself, cached.stored.lot_id, sample)
         reply = self.peers.ask(member.address, ask, OWNER_TIMEOUT_S)
         return reply if isinstance(reply, SampleBody) else None
 
     def _from_store(self, cached: CachedLot, after: int) -> Page:
         """Read from the store what neither memory nor the owner gave."""
-        kept = self.journal.head(cached.kept.lot_id)
-        if kept is None:
-            raise LotUnknownError(cached.kept.lot_id)
-        if kept.head.listed > after:
-            results = self.journal.results(kept, 0)
+        stored = self.journal.head(cached.stored.lot_id)
+        if stored is None:
+            raise LotUnknownError(cached.stored.lot_id)
+        if stored.head.listed > after:
+            results = self.journal.results(stored, 0)
             with self.lock:
                 if len(results) > len(cached.results):
                     cached.results = list(results)
-        cached.kept = kept
+        cached.stored = stored
         log_state(
             "lot_read_from_store",
-            lot=kept.lot_id,
-            owner=kept.head.owner,
-            listed=kept.head.listed,
-            revision=kept.revision,
+            lot=stored.lot_id,
+            owner=stored.head.owner,
+            listed=stored.head.listed,
+            revision=stored.revision,
         )
-        return Page(kept.head.total, kept.head.ended, first_page(cached.results[after:]))
+        return Page(stored.head.total, stored.head.ended, first_page(cached.results[after:]))
 
 
 __all__ = ["LotUnknownError", "RemoteLots"]
--- a/src/threadramp/lots/scoped_ids.py
+++ b/src/threadramp/lots/scoped_ids.py
@@ -25,9 +25,9 @@
     return f"{_tag(organisation)}{SEPARATOR}{given}"
 
 
-def unscoped_id(kept: str) -> str:
+def unscoped_id(scoped: str) -> str:
     """Return the id that the caller chose."""
-    return kept.rpartition(SEPARATOR)[2]
+    return scoped.rpartition(SEPARATOR)[2]
 
 
 def is_valid_id(given: str) -> bool:
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -145,7 +145,7 @@
             ago_s = round(self.clock.now() - owned.ownership_confirmed_at, 2)
         yield Fact("samples by phase", str(phases), "own lots", 0.0)
         yield Fact("samples by runner", str(runners), "own lots", 0.0)
-        listed = f"{owned.kept.head.listed} at revision {owned.kept.revision}"
+        listed = f"{owned.stored.head.listed} at revision {owned.stored.revision}"
         yield Fact("listed", listed, "the store", ago_s if ago_s < 1e6 else None)
 
     def member(self, name: str) -> Iterable[Fact]:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -198,7 +198,7 @@
         )
         schedule = UsageSchedule(own.bounds.usage_window_s, own.bounds.usage_late_s)
         calls = DutyCalls(own.duties.address, own.name)
-        right = holding.right
+        right = holding.lock
         reports = UsageReports(
             right, store, calls, collecting, schedule, self.true_time, self.metrics
         )
@@ -286,7 +286,7 @@
             clock,
             self.runners.drop,
             self.checkpoints,
-            self.end_notices.tell,
+            self.end_notices.notify,
             LISTINGS[self.own.lots.listing](),
         )
         self.audit = LotAudit(self.owner, self.settings.bounds.status_s)
--- a/tests/duties/test_duty_loop.py
+++ b/tests/duties/test_duty_loop.py
@@ -17,7 +17,7 @@
     def __init__(self, store, box, clock, duties):
         self.store = store
         self.box = box
-        self.right = Right(store, KEY, box, 3.0, clock, lambda holder: duties().may_take(holder))
+        self.lock = Right(store, KEY, box, 3.0, clock, lambda holder: duties().may_take(holder))
 
     def holder(self):
         item = self.store.items.get(KEY)
@@ -27,7 +27,7 @@
         return self.holder() == self.box
 
     def usable_number(self):
-        return self.right.usable_number()
+        return self.lock.usable_number()
 
 
 class Collecting:
@@ -71,7 +71,7 @@
         one = gateway(name, store, clock)
         one.answered = len(NAMES) - 1
         one.turn()
-        if one.holding.right.number:
+        if one.holding.lock.number:
             return one
     raise AssertionError("nobody took them")
 
@@ -100,7 +100,7 @@
     one.leave()
     one.turn()
     assert one.holding.holder() != one.holding.box
-    assert one.holding.right.number == 0
+    assert one.holding.lock.number == 0
 
 
 class Counting:
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -73,7 +73,7 @@
         self.dropped: list[str] = []
         self.notices = EndNotices(peers, clock)
         self.owner = LotOwner(
-            self.owned, self.journal, peers, clock, self._drop, Checkpoints(), self.notices.tell
+            self.owned, self.journal, peers, clock, self._drop, Checkpoints(), self.notices.notify
         )
         self.reader = LotReader(self.owned, self.owner, self.journal, peers, clock)
         client.answers[member.address] = GatewayAnswers(peers, self.owner, self.reader, None)
@@ -118,7 +118,7 @@
     other.know("g0", "g1")
     assert not other.notices.one_turn()
     assert owned.book.ended
-    assert owned.kept.head.ended
+    assert owned.stored.head.ended
     assert running.dropped == ["lot"]
 
 
@@ -149,10 +149,10 @@
     client.silent.add("g2:1")
     other.know("g0", "g1", "g2")
     book = book_of("abc")
-    kept = other.journal.create(book.lot, HEAD)
+    stored = other.journal.create(book.lot, HEAD)
     client.silent.add("g1:1")
     other.reader.end("lot")  # it goes by the owner before
-    running.owned.add(OwnedLot(book, kept))
+    running.owned.add(OwnedLot(book, stored))
     client.silent.discard("g1:1")
     other.notices.one_turn()
     assert book.ended
@@ -162,7 +162,7 @@
     """It was not listed for a moment, and does not know that its lot went to another."""
     owned = running.own()
     other.know("g0")
-    other.owner.take_over(owned.kept)
+    other.owner.take_over(owned.stored)
     other.reader.end("lot")
     assert other.dropped == ["lot"]
     assert not owned.book.ended
@@ -176,7 +176,7 @@
     old = running.own()
     running.owned.remove("lot")
     running.owner.peers.member = Member("g1", "gateway", "2", "g1:1", "a", "")
-    running.owner.take_over(old.kept)
+    running.owner.take_over(old.stored)
     running.reader.end("lot")
     assert not running.notices.one_turn()
 
@@ -200,10 +200,10 @@
 def test_a_notice_of_an_end_that_is_known_changes_nothing(running, other):
     owned = running.own()
     running.reader.end("lot")
-    reply = running.reader.peers.client.ask("g1:1", EndKept("g0", "g0:1", owned.kept), 1.0)
+    reply = running.reader.peers.client.ask("g1:1", EndKept("g0", "g0:1", owned.stored), 1.0)
     assert reply == LotEnded(True, True)
     assert running.dropped == ["lot"]
-    gone = running.reader.peers.client.ask("g0:1", EndKept("g1", "g1:1", owned.kept), 1.0)
+    gone = running.reader.peers.client.ask("g0:1", EndKept("g1", "g1:1", owned.stored), 1.0)
     assert gone == LotEnded(False, False)
     assert not isinstance(gone, Done)
 
@@ -211,8 +211,8 @@
 def test_the_audit_notices_the_end_of_a_lot_that_runs_here(running, other):
     owned = running.own()
     running.know("g0", "g1")
-    kept = running.journal.head("lot")
-    running.journal.change(kept, ended=True)
+    stored = running.journal.head("lot")
+    running.journal.change(stored, ended=True)
     LotAudit(running.owner, status_s=120.0)._audit()
     assert owned.book.ended
     assert running.dropped == ["lot"]
@@ -265,7 +265,7 @@
     each order of the two fails.
     """
     running.own()
-    kept = other.journal.head("lot")
+    stored = other.journal.head("lot")
     whole = other.journal.whole
 
     def end_meanwhile(head):
@@ -274,17 +274,17 @@
         return found
 
     other.journal.whole = end_meanwhile
-    other.owner.take_over(kept)
+    other.owner.take_over(stored)
     assert other.owned.get("lot").book.ended
 
 
 def test_a_lot_that_is_taken_over_while_its_end_is_being_written_is_ended(running, other):
     running.own()
-    kept = other.journal.head("lot")
+    stored = other.journal.head("lot")
     write = other.owner._end_kept
 
     def take_over_first(head):
-        other.owner.take_over(kept)
+        other.owner.take_over(stored)
         return write(head)
 
     other.owner._end_kept = take_over_first
@@ -294,7 +294,7 @@
 
 def test_an_end_that_is_told_while_the_lot_is_taken_over_holds_once_it_is(running, other):
     running.own()
-    kept = other.journal.head("lot")
+    stored = other.journal.head("lot")
     whole = other.journal.whole
 
     def told_meanwhile(head):
@@ -304,5 +304,5 @@
         return found
 
     other.journal.whole = told_meanwhile
-    other.owner.take_over(kept)
+    other.owner.take_over(stored)
     assert other.owned.get("lot").book.ended
--- a/tests/lots/test_head_lookup.py
+++ b/tests/lots/test_head_lookup.py
@@ -33,21 +33,21 @@
 
 
 def found_by(gateway: Gateway):
-    return gateway.reader.remote_lots._cached("lot").kept
+    return gateway.reader.remote_lots._cached("lot").stored
 
 
 def test_a_data_centre_reads_it_once(fleet, platform_store):
     """Each of its gateways read it for itself: calls grew with gateways times lots."""
-    kept = fleet["g0"].journal.create(book_of("abc").lot, FAR)
+    stored = fleet["g0"].journal.create(book_of("abc").lot, FAR)
     before = platform_store.counts["reads"]
-    assert all(found_by(gateway) == kept for gateway in fleet.values())
+    assert all(found_by(gateway) == stored for gateway in fleet.values())
     assert platform_store.counts["reads"] - before == 1
 
 
 def test_where_the_finder_does_not_answer_it_is_read_here(fleet, reader, client):
-    kept = fleet["g0"].journal.create(book_of("abc").lot, FAR)
+    stored = fleet["g0"].journal.create(book_of("abc").lot, FAR)
     client.silent.add(f"{FINDER}:1")
-    assert found_by(reader) == kept
+    assert found_by(reader) == stored
 
 
 def test_only_the_store_says_that_there_is_no_such_lot(fleet, reader, platform_store):
@@ -62,5 +62,5 @@
     finder = fleet[FINDER]
     owned = finder.own()
     before = platform_store.counts["reads"]
-    assert found_by(reader) == owned.kept
+    assert found_by(reader) == owned.stored
     assert platform_store.counts["reads"] == before
--- a/tests/lots/test_journal.py
+++ b/tests/lots/test_journal.py
@@ -42,18 +42,18 @@
 
 def test_a_lot_of_several_parts_comes_back_whole(journal):
     lot = make_lot(body=b"x" * 500_000)
-    kept = journal.create(lot, HEAD)
-    assert kept.head.parts == 2
+    stored = journal.create(lot, HEAD)
+    assert stored.head.parts == 2
     assert journal.load("lot").lot == lot
 
 
 def test_results_stand_at_their_positions(journal):
-    kept = journal.create(make_lot(), HEAD)
-    kept = journal.append(kept, [result("b")])
-    kept = journal.append(kept, [result("a")])
+    stored = journal.create(make_lot(), HEAD)
+    stored = journal.append(stored, [result("b")])
+    stored = journal.append(stored, [result("a")])
     whole = journal.load("lot")
     assert [one.sample for one in whole.results] == ["b", "a"]
-    assert whole.kept.head.listed == 2
+    assert whole.stored.head.listed == 2
 
 
 def test_the_results_of_a_lot_are_read_with_one_call(store_address):
@@ -62,55 +62,55 @@
     journal = LotJournal(StoreClient(store_address, timeout_s=0.3, count=causes.append))
     lot = make_lot()
     samples = tuple(replace(lot.samples[0], id=f"s{n}") for n in range(12))
-    kept = journal.create(replace(lot, samples=samples), HEAD)
+    stored = journal.create(replace(lot, samples=samples), HEAD)
     for sample in samples:
-        kept = journal.append(kept, [result(sample.id)])
+        stored = journal.append(stored, [result(sample.id)])
     causes.clear()
-    found = journal.results(kept, 0)
+    found = journal.results(stored, 0)
     assert [one.sample for one in found] == [sample.id for sample in samples]  # also beyond ten
     assert causes == ["list lot-chunk"]
 
 
 def test_a_chunk_that_is_missing_beside_its_head_is_not_passed_over(journal):
-    kept = journal.create(make_lot(), HEAD)
+    stored = journal.create(make_lot(), HEAD)
     for name in "ab":
-        kept = journal.append(kept, [result(name)])
+        stored = journal.append(stored, [result(name)])
     journal.store.transact(Transaction(removals=("lot-chunk/lot/0",)))
     with pytest.raises(StoreUnknownError):
-        journal.results(kept, 0)
+        journal.results(stored, 0)
 
 
 def test_of_two_owners_one_append_stands(journal):
-    kept = journal.create(make_lot(), HEAD)
-    journal.append(kept, [result("a")])
+    stored = journal.create(make_lot(), HEAD)
+    journal.append(stored, [result("a")])
     with pytest.raises(NotOwnerError):
-        journal.append(kept, [result("b")])
+        journal.append(stored, [result("b")])
     assert [one.sample for one in journal.load("lot").results] == ["a"]
 
 
 def test_who_took_a_lot_over_is_told_to_the_owner_before(journal):
-    kept = journal.create(make_lot(), HEAD)
-    journal.change(kept, owner="g2", incarnation="other")
+    stored = journal.create(make_lot(), HEAD)
+    journal.change(stored, owner="g2", incarnation="other")
     with pytest.raises(NotOwnerError) as raised:
-        journal.append(kept, [result("a")])
+        journal.append(stored, [result("a")])
     assert raised.value.head.owner == "g2"
 
 
 def test_a_lost_answer_is_settled_by_the_nonce(journal, platform_store):
     platform_store.faults["lose_answers"] = 1
-    kept = journal.create(make_lot(), HEAD)
-    assert kept is not None
+    stored = journal.create(make_lot(), HEAD)
+    assert stored is not None
     platform_store.faults["lose_answers"] = 2
-    kept = journal.append(kept, [result("a")])
-    assert kept.head.listed == 1
+    stored = journal.append(stored, [result("a")])
+    assert stored.head.listed == 1
     assert [one.sample for one in journal.load("lot").results] == ["a"]
 
 
 def test_a_write_that_is_done_late_changes_nothing_twice(journal, platform_store):
-    kept = journal.create(make_lot(), HEAD)
+    stored = journal.create(make_lot(), HEAD)
     platform_store.faults.update(late_writes=1, late_s=0.05)
-    kept = journal.append(kept, [result("a")])
-    kept = journal.append(kept, [result("b")])
+    stored = journal.append(stored, [result("a")])
+    stored = journal.append(stored, [result("b")])
     assert [one.sample for one in journal.load("lot").results] == ["a", "b"]
 
 
@@ -127,7 +127,7 @@
     platform_store.faults["outage"] = True
     threading.Timer(0.6, platform_store.faults.update, ({"outage": False},)).start()
     assert journal.create(make_lot(body=b"x" * 500_000), HEAD, patience_s=5.0) is not None
-    assert journal.load("lot").kept.head.parts == 2
+    assert journal.load("lot").stored.head.parts == 2
 
 
 def test_a_hand_in_is_given_up_when_its_time_is_up(journal, platform_store):
@@ -176,14 +176,14 @@
 
 
 def test_a_removed_lot_leaves_no_key(journal, platform_store):
-    kept = journal.append(journal.create(make_lot(), HEAD), [result("a")])
-    journal.remove(kept)
+    stored = journal.append(journal.create(make_lot(), HEAD), [result("a")])
+    journal.remove(stored)
     assert platform_store.data == {}
 
 
 def test_the_heads_of_all_lots_are_listed(journal):
     journal.create(make_lot(), HEAD)
-    assert [kept.lot_id for kept in journal.heads()] == ["lot"]
+    assert [stored.lot_id for stored in journal.heads()] == ["lot"]
 
 
 def test_a_removal_that_comes_late_leaves_a_lot_of_the_same_id_alone(journal):
--- a/tests/lots/test_owner.py
+++ b/tests/lots/test_owner.py
@@ -17,7 +17,7 @@
 from threadramp.lots.owner import LotOwner
 
 
-def kept(owner: str, lot_id: str = "lot") -> StoredHead:
+def stored(owner: str, lot_id: str = "lot") -> StoredHead:
     head = LotHead(owner, "old", 0.0, 7.5, 40.0, 3, False, 1, 1, 0, 0, False, "")
     return StoredHead(lot_id, head, 1)
 
@@ -27,16 +27,16 @@
 
 
 def test_a_lot_goes_to_the_next_process_on_its_owners_box():
-    assert heir_of(kept("g1"), live("g0", "g1", "g2")) == "g1"
+    assert heir_of(stored("g1"), live("g0", "g1", "g2")) == "g1"
 
 
 def test_all_gateways_agree_on_the_heir_of_a_lot_whose_owner_is_gone():
-    heirs = {heir_of(kept("gone"), live(*names)) for names in (["g0", "g1"], ["g1", "g0"])}
+    heirs = {heir_of(stored("gone"), live(*names)) for names in (["g0", "g1"], ["g1", "g0"])}
     assert len(heirs) == 1
 
 
 def test_the_lots_of_a_gateway_that_is_gone_are_spread():
-    heirs = {heir_of(kept("gone", f"lot{n}"), live("g0", "g1", "g2")) for n in range(30)}
+    heirs = {heir_of(stored("gone", f"lot{n}"), live("g0", "g1", "g2")) for n in range(30)}
     assert heirs == {"g0", "g1", "g2"}
 
 
@@ -55,7 +55,7 @@
     looking = {name for name in names if is_look_due(before, after, name)}
     assert looking == set(lookers_for("gone", names))
     assert len(looking) == LOOKERS
-    heirs = {heir_of(kept("gone", f"lot{n}"), live(*names)) for n in range(200)}
+    heirs = {heir_of(stored("gone", f"lot{n}"), live(*names)) for n in range(200)}
     assert heirs == looking
 
 
@@ -104,7 +104,7 @@
         clock,
         lambda lot, let_finish: None,
         Checkpoints(owned, store, member.incarnation),
-        lambda kept: None,
+        lambda stored: None,
     )
 
 
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -53,7 +53,7 @@
         self.clock = clock
         self.journal = LotJournal(StoreClient(store_address, timeout_s=0.5))
         self.book = make_book(*[make_sample(name, "g") for name in "abc"])
-        self.kept = self.journal.create(self.book.lot, HEAD)
+        self.stored = self.journal.create(self.book.lot, HEAD)
         picture = Picture()
         items = tuple(Item(f"member/{m.name}", msgspec.msgpack.encode(m), 1) for m in MEMBERS)
         picture.members.replace(Listing(items, 1), 0.0)
@@ -63,15 +63,15 @@
         self.reader = LotReader(self.owned, Owner(self.owned), self.journal, peers, clock)
 
     def append(self, name: str) -> None:
-        self.kept = self.journal.append(self.kept, [result(name)])
+        self.stored = self.journal.append(self.stored, [result(name)])
 
     def own(self) -> None:
         """Let the gateway believe that it owns the lot, with what is listed now."""
-        self.kept = self.journal.change(self.kept, owner="g0")
+        self.stored = self.journal.change(self.stored, owner="g0")
         self.book.appended(())
-        for one in self.journal.results(self.kept, 0):
+        for one in self.journal.results(self.stored, 0):
             self.book.appended([one])
-        self.owned.add(OwnedLot(self.book, self.kept))
+        self.owned.add(OwnedLot(self.book, self.stored))
 
     def names(self, after: int = 0) -> list[str]:
         return [one.sample for one in self.reader.results("lot", after, 0.0).results]
@@ -93,7 +93,7 @@
     world.append("a")
     world.own()
     assert world.names(1) == []
-    world.kept = world.journal.change(world.kept, owner="g2")
+    world.stored = world.journal.change(world.stored, owner="g2")
     world.append("b")
     world.clock.at += 0.9
     assert world.names(1) == ["b"]
@@ -104,7 +104,7 @@
     world.append("a")
     world.client.replies["g1:1"] = LotPage(3, False, (result("a"),))
     assert world.names() == ["a"]
-    world.kept = world.journal.change(world.kept, owner="g2")
+    world.stored = world.journal.change(world.stored, owner="g2")
     world.append("b")
     world.client.replies["g1:1"] = LotPage(3, False, ())
     world.clock.at += 0.9
@@ -175,7 +175,7 @@
     world.own()
     ask = ReadLot("g2", "g2:1", "lot", 1, 0.0)
     assert world.reader.page_for_peer(ask) == LotPage(3, False, (), True)
-    world.kept = world.journal.change(world.kept, owner="g2")
+    world.stored = world.journal.change(world.stored, owner="g2")
     world.append("b")
     world.clock.at += LOOK_S + 0.1
     assert world.reader.page_for_peer(ask).total == 0
