--- a/src/threadramp/lots/__init__.py
+++ b/src/threadramp/lots/__init__.py
@@ -1,1 +1,1 @@
-"""Lots that outlast their process: hand-in, samples, results, end."""
+"""Lots stored independently of the process that runs them: submission, samples, results, end."""
--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -1,4 +1,4 @@
-"""Appends results to lots in the store; only what the store has acknowledged may be read."""
+"""Appends results to lots in the store; readers see only what the store has acknowledged."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     from threadramp.lots.owned import OwnedLot, OwnedLots
     from threadramp.report.metrics import Metrics
 
-TURN_S = 0.05
-THREADS = 4
-RETRY_PAUSE_S = 0.4  # after a write that the store did not take
+POLL_INTERVAL_S = 0.05
+WRITE_THREADS = 4
+RETRY_PAUSE_S = 0.4  # after a failed write
 
 
 class ResultAppender:
-    """Writes the results of all owned lots, one write at a time for each.
+    """Writes the results of all owned lots, one write at a time for each lot.
 
-    :param on_other_owner: called when a lot has changed hands
-    :param newest: returns the newest version that is named of a model, 0 if none is
+    :param on_owner_changed: called when another gateway owns a lot
+    :param newest_version: returns the newest published version of a model, 0 if there is none
     """
 
     def __init__(
@@ -37,63 +37,63 @@
         owned: OwnedLots,
         journal: LotJournal,
         clock: Clock,
-        on_other_owner: Callable[[OwnedLot], None],
+        on_owner_changed: Callable[[OwnedLot], None],
         metrics: Metrics,
-        newest: Callable[[str], int],
+        newest_version: Callable[[str], int],
     ) -> None:
         self.owned = owned
         self.journal = journal
         self.clock = clock
-        self.on_other_owner = on_other_owner
+        self.on_owner_changed = on_owner_changed
         self.metrics = metrics
-        self.newest = newest
-        self.pool = ThreadPoolExecutor(THREADS, thread_name_prefix="append")
+        self.newest_version = newest_version
+        self.pool = ThreadPoolExecutor(WRITE_THREADS, thread_name_prefix="append")
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start appending."""
+        """Start the loop that appends results."""
         start_loop(self._run, self.stopped)
 
     def _run(self) -> None:
-        while not self.stopped.wait(TURN_S):
+        while not self.stopped.wait(POLL_INTERVAL_S):
             now = self.clock.now()
             for lot in self.owned.open():
                 with self.owned.lock:
-                    late = lot.book.give_up_late(now)
+                    expired = lot.book.give_up_late(now)
                     chunk = lot.book.next_chunk(now)
-                if late:
-                    log_state("given_up_late", lot=lot.lot_id, samples=late)
+                if expired:
+                    log_state("samples_expired", lot=lot.lot_id, samples=expired)
                 if chunk:
                     self.pool.submit(self._append, lot, chunk)
 
     def _append(self, lot: OwnedLot, chunk: tuple[Result, ...]) -> None:
         started = self.clock.now()
         try:
-            grown = self.journal.append(lot.stored, chunk)
+            stored = self.journal.append(lot.stored, chunk)
             self.metrics.latency("append", self.clock.now() - started)
         except (NotOwnerError, LotMissingError) as error:
-            log_state("lot_changed_hands", lot=lot.lot_id, error=str(error))
-            self.on_other_owner(lot)
+            log_state("lot_owner_changed", lot=lot.lot_id, error=str(error))
+            self.on_owner_changed(lot)
         except StoreError as error:
             log_state("append_failed", lot=lot.lot_id, results=len(chunk), error=str(error))
             self.stopped.wait(RETRY_PAUSE_S)
             with self.owned.lock:
                 lot.book.append_failed()
-        except Exception as error:  # a thread of the pool would swallow it
-            log_state("append_broken", lot=lot.lot_id, error=repr(error))
+        except Exception as error:  # the thread pool would discard it
+            log_state("append_error", lot=lot.lot_id, error=repr(error))
             with self.owned.lock:
                 lot.book.append_failed()
         else:
-            self._listed(lot, grown, chunk, started)
+            self._record_listed(lot, stored, chunk, started)
 
-    def _listed(
-        self, lot: OwnedLot, grown: StoredHead, chunk: tuple[Result, ...], started: float
+    def _record_listed(
+        self, lot: OwnedLot, stored: StoredHead, chunk: tuple[Result, ...], started: float
     ) -> None:
         with self.owned.lock:
             lot.ownership_confirmed_at = started
-            lot.stored = grown
+            lot.stored = stored
             lot.book.appended(chunk)
-            self.owned.tell_listed()
+            self.owned.notify_readers()
         for result in chunk:
             self.metrics.count("listed", result.state.value)
         behind = self._versions_behind(lot, chunk)
@@ -102,13 +102,13 @@
             lot=lot.lot_id,
             samples=[result.sample for result in chunk],
             behind=behind,
-            positions=grown.head.listed,
-            revision=grown.revision,
+            positions=stored.head.listed,
+            revision=stored.revision,
         )
 
     def _versions_behind(self, lot: OwnedLot, chunk: tuple[Result, ...]) -> list[int]:
-        """Count how far the oldest version in each text is behind the newest that is named."""
-        newest = self.newest(lot.book.lot.model)
+        """Count how far the oldest version in each text is behind the newest published one."""
+        newest = self.newest_version(lot.book.lot.model)
         behind = [max(0, newest - min(result.versions)) for result in chunk if result.versions]
         for versions in behind:
             self.metrics.count("versions_behind", str(versions))
--- a/src/threadramp/lots/audit.py
+++ b/src/threadramp/lots/audit.py
@@ -1,4 +1,4 @@
-"""Looks through the lots in the store: takes over idle ones, removes old ones."""
+"""Scans the lots in the store: takes over orphaned ones and removes expired ones."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     from threadramp.lots.model import StoredHead
     from threadramp.lots.owner import LotOwner
 
-AUDIT_S = 10.0  # how often the heads in the store are looked through; each look is a priced call
-LOOKERS = 3  # gateways that look for the lots of one that is gone, and share them
-REGULAR_LOOKERS = 6  # gateways that look regularly, however many there are
-AUDIT_AGAIN_S = 1.0  # after a look that failed
-AUDIT_SOON_S = 0.2  # after the gateways changed, so that several changes are looked at together
-KEPT_MARGIN_S = 60.0  # beyond the time for which results stay readable; clocks may differ
+SCAN_INTERVAL_S = 10.0  # between periodic scans; each scan is a billed call
+SCANNERS = 3  # gateways that scan for the lots of one that has left, and share them
+PERIODIC_SCANNERS = 6  # gateways that scan periodically, whatever the size of the fleet
+SCAN_RETRY_S = 1.0  # after a failed scan
+POLL_INTERVAL_S = 0.2  # several changes of the gateways within this time share one scan
+RETENTION_MARGIN_S = 60.0  # added to the time for which results stay readable; clocks may differ
 
 
 class LotAudit:
-    """Finds lots without a living owner, and lots that nobody may ask for any more.
+    """Finds lots without a live owner, and lots that are past their retention.
 
-    :param owner: takes over what falls to this gateway
+    :param owner: takes over the lots assigned to this gateway
     :param status_s: seconds for which the results of an ended lot stay readable
     """
 
@@ -40,33 +40,34 @@
         self.journal = owner.journal
         self.peers = owner.peers
         self.clock = owner.clock
-        self.kept_s = status_s + KEPT_MARGIN_S
+        self.retention_s = status_s + RETENTION_MARGIN_S
         self.orphans: set[tuple[str, int]] = set()
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start looking through the lots."""
-        start_loop(self._audit_loop, self.stopped)
+        """Start scanning the lots."""
+        start_loop(self._scan_loop, self.stopped)
 
-    def _audit_loop(self) -> None:
-        """Look through the heads when a gateway is gone, and from time to time.
+    def _scan_loop(self) -> None:
+        """Scan the heads when a gateway has left, and periodically.
 
-        One that is new looks for itself and takes over what its box had.
+        A new gateway scans at its start, which takes over the lots of the previous process on its
+        box.
         """
         seen: frozenset[tuple[str, str]] = frozenset()
         last = float("-inf")
-        while not self.stopped.wait(AUDIT_SOON_S):
-            gateways = self._gateways_now()
+        while not self.stopped.wait(POLL_INTERVAL_S):
+            gateways = self._live_incarnations()
             if not self._is_due(seen, gateways, last):
                 seen = gateways
                 continue
             if self.owner.leaving or not self.peers.picture.members.known:
                 continue
             try:
-                self._audit()
+                self._scan()
             except StoreError as error:
                 log_state("audit_failed", error=str(error))
-                self.stopped.wait(AUDIT_AGAIN_S)
+                self.stopped.wait(SCAN_RETRY_S)
                 continue
             seen = gateways
             last = self.clock.now()
@@ -77,112 +78,115 @@
         gateways: frozenset[tuple[str, str]],
         last: float,
     ) -> bool:
-        """Return whether to look now: at the start, when a gateway is gone, or regularly.
+        """Return whether to scan now: at the start, when a gateway has left, or periodically.
 
-        :param seen: at the last look
-        :param last: time of the last look
+        :param seen: gateways at the last scan
+        :param last: time of the last scan
         """
         name = self.peers.member.name
         since_s = self.clock.now() - last
-        if since_s == math.inf or is_look_due(seen, gateways, name):
+        if since_s == math.inf or is_scan_due(seen, gateways, name):
             return True
-        return since_s >= AUDIT_S and name in regular_lookers(one for one, _ in gateways)
+        return since_s >= SCAN_INTERVAL_S and name in periodic_scanners(one for one, _ in gateways)
 
-    def _gateways_now(self) -> frozenset[tuple[str, str]]:
-        """Return the names and incarnations of the gateways that are believed to live."""
+    def _live_incarnations(self) -> frozenset[tuple[str, str]]:
+        """Return the names and incarnations of the gateways considered live."""
         return frozenset((one.name, one.incarnation) for one in self.peers.live_gateways())
 
-    def _audit(self) -> None:
-        """Take over the open lots whose owner is gone and that fall to this gateway."""
-        heads = self.journal.heads()
+    def _scan(self) -> None:
+        """Take over the orphaned lots assigned to this gateway."""
+        heads = self.journal.list_heads()
         for stored in heads:
             if stored.head.ended:
                 self.owner.apply_end(stored)
-        self._remove_old(heads)
-        idle = [
+        self._remove_expired(heads)
+        candidates = [
             stored
             for stored in heads
             if not stored.head.ended and self.owned.get(stored.lot_id) is None
         ]
-        if any(stored.head.owner not in self._live() for stored in idle):
-            self.peers.relist_members()  # a gateway that just started may not be seen yet
-        live = self._live()
+        if any(stored.head.owner not in self._live_by_name() for stored in candidates):
+            self.peers.relist_members()  # a gateway that has just started may not be known yet
+        live = self._live_by_name()
         orphans = {
-            (stored.lot_id, stored.revision) for stored in idle if stored.head.owner not in live
+            (stored.lot_id, stored.revision)
+            for stored in candidates
+            if stored.head.owner not in live
         }
-        left, self.orphans = self.orphans & orphans, orphans
-        for stored in idle:
-            # An orphan since the last look: those that it falls to did not see it.
-            is_left = (stored.lot_id, stored.revision) in left
-            if not is_left and heir_of(stored, live) != self.peers.member.name:
+        still_orphaned, self.orphans = self.orphans & orphans, orphans
+        for stored in candidates:
+            # Orphaned since the last scan: the gateways that should take it over did not see it.
+            is_still_orphaned = (stored.lot_id, stored.revision) in still_orphaned
+            if not is_still_orphaned and successor_of(stored, live) != self.peers.member.name:
                 continue
             try:
                 self.owner.take_over(stored)
             except (NotOwnerError, LotMissingError) as error:
-                log_state("not_adopted", lot=stored.lot_id, error=str(error))
+                log_state("lot_take_over_failed", lot=stored.lot_id, error=str(error))
 
-    def _remove_old(self, heads: list[StoredHead]) -> None:
-        """Remove the lots that fall to this gateway and that nobody may ask for any more."""
-        limit = self.clock.time_of_day() - self.kept_s
-        lookers = regular_lookers(self._live())
+    def _remove_expired(self, heads: list[StoredHead]) -> None:
+        """Remove the expired lots that this gateway is responsible for."""
+        limit = self.clock.time_of_day() - self.retention_s
+        scanners = periodic_scanners(self._live_by_name())
         for stored in heads:
-            mine = rendezvous(stored.lot_id, lookers)[0] == self.peers.member.name
-            if not mine or not stored.head.ended or stored.head.submitted_at > limit:
+            is_responsible = rendezvous(stored.lot_id, scanners)[0] == self.peers.member.name
+            if not is_responsible or not stored.head.ended or stored.head.submitted_at > limit:
                 continue
             try:
-                is_gone = self.journal.remove(stored)
+                is_removed = self.journal.remove(stored)
             except StoreError as error:
                 log_state("lot_not_removed", lot=stored.lot_id, error=str(error))
                 continue
-            if not is_gone:
+            if not is_removed:
                 continue
             self.owned.remove(stored.lot_id)
             log_state("lot_removed", lot=stored.lot_id, revision=stored.revision)
 
-    def _live(self) -> dict[str, Member]:
-        """Return the gateways that are believed to live, this one among them, by name."""
+    def _live_by_name(self) -> dict[str, Member]:
+        """Return the gateways considered live by name, including this one."""
         return {one.name: one for one in self.peers.live_gateways()}
 
 
-def is_look_due(
+def is_scan_due(
     seen: frozenset[tuple[str, str]], gateways: frozenset[tuple[str, str]], name: str
 ) -> bool:
-    """Return whether lots may lie idle that did not before, and fall to this gateway.
+    """Return whether lots may have been orphaned that this gateway has to look for.
 
-    A look is a priced call: where all looked, 58 gateways made 58 at each one that went, and 290 in
-    the regular looks of a calm day.
+    A scan is a billed call. When every gateway scanned, 58 gateways made 58 scans for each gateway
+    that left, and 290 periodic scans on a quiet day.
 
-    :param seen: names and incarnations of the gateways at the last look
+    :param seen: names and incarnations of the gateways at the last scan
     :param name: of this gateway
     """
     live = [one for one, _ in gateways]
-    gone = {one for one, _ in seen - gateways}
-    return any(name in lookers_for(one, live) for one in gone)
+    lost = {one for one, _ in seen - gateways}
+    return any(name in scanners_for(one, live) for one in lost)
 
 
-def lookers_for(gone: str, live: Iterable[str]) -> list[str]:
-    """Return the gateways that look for the lots of one that is gone, and that they fall to.
+def scanners_for(lost: str, live: Iterable[str]) -> list[str]:
+    """Return the gateways that scan for the lots of one that has left, and that may take them over.
 
-    :param live: names of the gateways that are believed to live
+    :param live: names of the gateways considered live
     """
-    return rendezvous(gone, sorted(set(live) - {gone}))[:LOOKERS]
+    return rendezvous(lost, sorted(set(live) - {lost}))[:SCANNERS]
 
 
-def regular_lookers(live: Iterable[str]) -> list[str]:
-    """Return the gateways that look regularly.
+def periodic_scanners(live: Iterable[str]) -> list[str]:
+    """Return the gateways that scan periodically.
 
-    They find what no look for a gateway that went has found, and remove what is old.
+    They find what the scans for a gateway that left have missed, and remove expired lots.
 
-    :param live: names of the gateways that are believed to live
+    :param live: names of the gateways considered live
     """
-    return rendezvous("regular looks", sorted(live))[:REGULAR_LOOKERS]
+    # The hash key decides which gateways scan: gateways of all versions must use the same one.
+    return rendezvous("regular looks", sorted(live))[:PERIODIC_SCANNERS]
 
 
-def heir_of(stored: StoredHead, live: dict[str, Member]) -> str:
-    """Return the gateway that a lot falls to: its owner's box while a gateway lives there."""
+def successor_of(stored: StoredHead, live: dict[str, Member]) -> str:
+    """Return the gateway to take over a lot: its owner's box if a gateway is live there."""
     if stored.head.owner in live:
         return stored.head.owner
-    return rendezvous(stored.lot_id, lookers_for(stored.head.owner, live))[0]
+    return rendezvous(stored.lot_id, scanners_for(stored.head.owner, live))[0]
 
 
-__all__ = ["LotAudit", "heir_of", "is_look_due", "lookers_for", "regular_lookers"]
+__all__ = ["LotAudit", "successor_of", "is_scan_due", "scanners_for", "periodic_scanners"]
--- a/src/threadramp/lots/checkpoints.py
+++ b/src/threadramp/lots/checkpoints.py
@@ -1,8 +1,8 @@
-"""Keeps the text of long samples in the store while they run.
+"""Saves the text of long samples in the store while they run.
 
-When all boxes lose power, a sample of 165 events has cost 6 s; with its first hundred kept it
-goes on behind them. Nothing depends on these records: they are written without a condition, each
-owner under a name of its own, and a sample without one begins anew.
+After a power loss of all boxes, a sample of 165 events cost 6 s; with its first hundred events
+saved it continues after them. Nothing depends on these records: they are written unconditionally,
+each owner under a key of its own, and a sample without a record starts from the beginning.
 """
 
 from __future__ import annotations
@@ -23,16 +23,17 @@
     from threadramp.platform.store import StoreClient
 
 TEXT_PREFIX = "lot-text/"
-SAVE_S = 1.5  # between two records of a lot; each is a priced call
-LONG_EVENTS = 25  # a shorter sample is made again within a second
-NEW_EVENTS = 15  # fewer new events are not worth a record
-RECORD_CHARACTERS = 500_000  # a value may have a megabyte
+SAVE_INTERVAL_S = 1.5  # between two records of a lot; each is a billed call
+MIN_EVENTS = 25  # a shorter sample is generated again within a second
+MIN_NEW_EVENTS = 15  # fewer new events do not justify a record
+MAX_RECORD_CHARACTERS = 500_000  # a value may have 1 MB
 
 
 class Checkpoints:
     """Writes, reads and removes the records of one gateway's lots.
 
-    :param incarnation: of this process; two owners of a lot never write the same record
+    :param incarnation: of this process, part of the keys, so that two owners of a lot never write
+        the same record
     """
 
     def __init__(self, owned: OwnedLots, store: StoreClient, incarnation: str) -> None:
@@ -44,13 +45,13 @@
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start writing records."""
+        """Start the loop that writes records."""
         start_loop(self._run, self.stopped)
 
     def load(self, lot_id: str) -> dict[str, SavedText]:
-        """Return the longest kept text of each sample of a lot.
+        """Return the longest saved text of each sample of a lot.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
         prefix = f"{TEXT_PREFIX}{lot_id}/"
         by_owner: dict[str, list[bytes]] = {}
@@ -59,28 +60,28 @@
             by_owner.setdefault(owner, []).append(item.value)
         longest: dict[str, SavedText] = {}
         for values in by_owner.values():
-            for text in joined(record for value in values for record in decode_texts(value)):
+            for text in join_records(record for value in values for record in decode_texts(value)):
                 held = longest.get(text.sample)
                 if held is None or len(held.events) < len(text.events):
                     longest[text.sample] = text
         return longest
 
     def forget(self, lot_id: str) -> None:
-        """Remove the records that this process wrote of a lot."""
+        """Remove the records of a lot that this process wrote."""
         self.saved.pop(lot_id, None)
         self.remove(self.keys.pop(lot_id, []))
 
     def remove(self, keys: list[str]) -> None:
-        """Remove records; one that stays is removed with its lot."""
+        """Remove records; if that fails they are removed along with their lot."""
         for start in range(0, len(keys), MAX_ENTRIES):
-            some = tuple(keys[start : start + MAX_ENTRIES])
+            batch = tuple(keys[start : start + MAX_ENTRIES])
             try:
-                self.store.transact(Transaction(removals=some), repeatable=True)
+                self.store.transact(Transaction(removals=batch), repeatable=True)
             except StoreError as error:
-                log_state("texts_not_removed", keys=len(some), error=str(error))
+                log_state("texts_not_removed", keys=len(batch), error=str(error))
 
     def save(self, lot: OwnedLot) -> int:
-        """Write what is new of a lot's long samples; returns how many samples that were."""
+        """Write the new events of a lot's long samples; returns the number of these samples."""
         with self.owned.lock:
             records = self._new_records(lot)
         if not records:
@@ -92,13 +93,13 @@
         try:
             self.store.transact(Transaction(puts=(put,)), repeatable=True)
         except StoreError as error:
-            self.saved.pop(lot.lot_id, None)  # the next record has all of it again
+            self.saved.pop(lot.lot_id, None)  # the next record contains all events again
             log_state("texts_not_saved", lot=lot.lot_id, error=str(error))
             return 0
         return len(records)
 
     def _run(self) -> None:
-        while not self.stopped.wait(SAVE_S):
+        while not self.stopped.wait(SAVE_INTERVAL_S):
             for lot in self.owned.open():
                 count = self.save(lot)
                 if count:
@@ -109,24 +110,24 @@
         records: list[SavedText] = []
         size = 0
         for name, state in lot.book.states.items():
-            if not state.is_open or len(state.events) < LONG_EVENTS:
+            if not state.is_open or len(state.events) < MIN_EVENTS:
                 continue
             events, base = saved.get(name, (state.events, 0))
-            if events is not state.events:  # it was begun anew
+            if events is not state.events:  # the sample was restarted
                 base = 0
-            if len(state.events) - base < NEW_EVENTS:
+            if len(state.events) - base < MIN_NEW_EVENTS:
                 continue
             record = _record(state, base)
             size += sum(map(len, record.events))
-            if size > RECORD_CHARACTERS and records:
+            if size > MAX_RECORD_CHARACTERS and records:
                 break
             saved[name] = (state.events, len(state.events))
             records.append(record)
         return records
 
 
-def joined(records: Iterable[SavedText]) -> list[SavedText]:
-    """Return whole texts from one owner's records, which are in the order of their writing."""
+def join_records(records: Iterable[SavedText]) -> list[SavedText]:
+    """Join one owner's records, given in the order of writing, into complete texts."""
     texts: dict[str, SavedText] = {}
     for record in records:
         held = texts.get(record.sample)
@@ -141,7 +142,7 @@
                 lineage=record.lineage,
             )
         else:
-            texts.pop(record.sample, None)  # a record between is missing
+            texts.pop(record.sample, None)  # a record in between is missing
     return list(texts.values())
 
 
@@ -155,4 +156,4 @@
     )
 
 
-__all__ = ["TEXT_PREFIX", "Checkpoints", "joined"]
+__all__ = ["TEXT_PREFIX", "Checkpoints", "join_records"]
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -1,6 +1,7 @@
-"""Holds back samples under which engines ended, as requests of callers are held back.
+"""Holds back samples suspected of crashing engines, as requests of callers are held back.
 
-A sample that is refused stays in its lot until its time is over; others of its lot go on.
+A refused sample stays in its lot until the lot's time is over; the other samples of the lot
+continue.
 """
 
 from __future__ import annotations
@@ -22,85 +23,86 @@
     from threadramp.policy.crash_book import Ruling
     from threadramp.policy.sample_placement import RunnerView
 
-HOLD_MOST_S = 5.0  # before a refused sample is looked at again; each look writes a line
-LIVED_ON = (RunOutcome.WHOLE, RunOutcome.FAILED, RunOutcome.IMPOSSIBLE)
+MAX_HOLD_S = 5.0  # before a refused sample is checked again; each check writes a log line
+ENGINE_SURVIVED = (RunOutcome.WHOLE, RunOutcome.FAILED, RunOutcome.IMPOSSIBLE)
 
 
 class SampleCrashGuard:
-    """One for the lots of a gateway.
+    """Holds back suspect samples of a gateway's lots.
 
-    :param guard: of all requests of this process
+    :param guard: crash guard for all requests of this process
     """
 
     def __init__(self, guard: CrashGuard, owned: OwnedLots) -> None:
         self.guard = guard
         self.owned = owned
-        self.apart: dict[str, tuple[OwnedLot, str]] = {}
+        self.isolated: dict[str, tuple[OwnedLot, str]] = {}
 
-    def note(self, lot: OwnedLot, sample: str, outcome: RunOutcome, start: Start) -> None:
-        """Note how a run ended.
+    def record_outcome(self, lot: OwnedLot, sample: str, outcome: RunOutcome, start: Start) -> None:
+        """Record how a run ended.
 
-        :param start: of the engine at which it ran
+        :param start: incarnation of the engine that ran it
         """
         if outcome is RunOutcome.CRASHED:
             self.guard.ended_under(sample, self._fingerprint(lot, sample), start)
-        elif outcome in LIVED_ON:
+        elif outcome in ENGINE_SURVIVED:
             self.guard.answered(lambda: self._fingerprint(lot, sample), start)
 
-    def may_go_on(self, lot: OwnedLot, sample: str) -> bool:
-        """Return whether a sample may run anywhere, beside whatever runs there."""
+    def may_run_anywhere(self, lot: OwnedLot, sample: str) -> bool:
+        """Return whether a sample may run on any engine, next to any other sample."""
         ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
         return ruling.verdict in (Verdict.FREE, Verdict.SUSPECTED)
 
-    def open_to(
+    def allowed_runners(
         self, lot: OwnedLot, sample: str, views: Sequence[RunnerView]
     ) -> Sequence[RunnerView]:
-        """Return the runners at which a sample may run: not those of other suspects.
+        """Return the runners at which a sample may run: those without an isolated suspect.
 
-        Where all have one it goes beside it: a sample takes seconds, and its step waits for it.
+        If all of them have one, any runner is allowed: a sample takes seconds, and its step waits
+        for it.
         """
         ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
         if ruling.verdict in (Verdict.FREE, Verdict.SUSPECTED):
             return views
-        taken = self._taken()
-        return [view for view in views if view.member.name not in taken] or views
+        isolating = self._isolating_runners()
+        return [view for view in views if view.member.name not in isolating] or views
 
     def admit(self, lot: OwnedLot, sample: str, runner: str, now: float) -> bool:
-        """Return whether a sample may go to a runner now; one that may not is put off."""
+        """Return whether a sample may go to a runner now; a refused one is postponed."""
         ruling = self.guard.admit(sample, lambda: self._fingerprint(lot, sample))
         if ruling.verdict is Verdict.REFUSED:
-            self._put_off(lot, sample, ruling, now)
+            self._postpone(lot, sample, ruling, now)
             return False
         if ruling.verdict is Verdict.APART:
-            self.apart[runner] = (lot, sample)
+            self.isolated[runner] = (lot, sample)
         return True
 
-    def _put_off(self, lot: OwnedLot, sample: str, ruling: Ruling, now: float) -> None:
+    def _postpone(self, lot: OwnedLot, sample: str, ruling: Ruling, now: float) -> None:
         with self.owned.lock:
-            lot.book.put_off(sample, now + min(HOLD_MOST_S, ruling.again_s))
+            lot.book.put_off(sample, now + min(MAX_HOLD_S, ruling.again_s))
 
-    def _taken(self) -> set[str]:
-        """Return the runners at which a suspect runs that goes apart from others."""
+    def _isolating_runners(self) -> set[str]:
+        """Return the runners at which an isolated suspect runs."""
         with self.owned.lock:
-            self.apart = {
+            self.isolated = {
                 runner: (lot, sample)
-                for runner, (lot, sample) in self.apart.items()
-                if _runs_at(lot, sample, runner)
+                for runner, (lot, sample) in self.isolated.items()
+                if _is_running_at(lot, sample, runner)
             }
-        return set(self.apart)
+        return set(self.isolated)
 
     def _fingerprint(self, lot: OwnedLot, sample: str) -> bytes:
         return sample_fingerprint(lot.book.lot, lot.book.states[sample].sample)
 
 
 def sample_fingerprint(lot: Lot, sample: Sample) -> bytes:
-    """Return what stands for a sample, in whichever lot of its organisation it comes."""
-    known = lot.organisation
-    caller = caller_of(sample.headers) if known is None else known
+    """Return a sample's fingerprint, the same in every lot of its organisation."""
+    organisation = lot.organisation
+    caller = caller_of(sample.headers) if organisation is None else organisation
     return fingerprint(lot.host, "POST", sample.path, caller, sample.body)
 
 
-def _runs_at(lot: OwnedLot, sample: str, runner: str) -> bool:
+def _is_running_at(lot: OwnedLot, sample: str, runner: str) -> bool:
     state = lot.book.states[sample]
     return not lot.book.ended and state.phase is Phase.RUNNING and state.runner == runner
 
--- a/src/threadramp/lots/dispatcher.py
+++ b/src/threadramp/lots/dispatcher.py
@@ -1,4 +1,4 @@
-"""Talks to the sidecars of engines about the samples of the lots that this gateway owns."""
+"""Sends samples of the lots that this gateway owns to sidecars and collects their text."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
     from threadramp.wire.fleet import AnyReply
 
 COLLECT_WAIT_S = 0.5  # a sidecar answers earlier when a sample ends
-ANSWER_MARGIN_S = 0.7  # for the way there and back, and a busy processor
+RESPONSE_MARGIN_S = 0.7  # network round trip and a busy processor
 ASK_TIMEOUT_S = 0.7
-LOST_AFTER_S = 1.6  # a sidecar that hears nothing for 1.0 s has stopped its samples by then
-TURN_S = 0.1
-NOT_TAKEN_PAUSE_S = 0.1
-SILENT_PAUSE_S = 0.3
+LOST_AFTER_S = 1.6  # a sidecar stops its samples after 1.0 s without any request
+POLL_INTERVAL_S = 0.1
+REFUSED_RETRY_S = 0.1
+UNRESPONSIVE_RETRY_S = 0.3
 FIND_TIMEOUT_S = 0.4
 
 
 class SampleDispatcher:
     """Sends samples to sidecars and collects their text.
 
-    :param on_scoring: called with a lot and a sample whose text is whole
-    :param samples: says which are held back, since engines ended under them
+    :param on_text_complete: called with a lot and a sample whose text is complete
+    :param crash_guard: decides which samples are held back after engine crashes
     """
 
     def __init__(
@@ -56,53 +56,53 @@
         owned: OwnedLots,
         peers: Peers,
         clock: Clock,
-        on_scoring: Callable[[OwnedLot, str], None],
-        samples: SampleCrashGuard,
+        on_text_complete: Callable[[OwnedLot, str], None],
+        crash_guard: SampleCrashGuard,
     ) -> None:
-        self.samples = samples
+        self.crash_guard = crash_guard
         self.owned = owned
         self.peers = peers
         self.clock = clock
-        self.news = RunnerUpdates(owned, clock, on_scoring, samples)
+        self.updates = RunnerUpdates(owned, clock, on_text_complete, crash_guard)
         self.members = RunnerMembers(peers, clock)
         self.views: dict[str, RunnerView] = {}
         self.collectors: set[str] = set()
-        self.asked: frozenset[str] = frozenset()
-        self.moves = SampleMoves(owned, clock, self._cut)
-        self.hurried = UrgentLoads(owned, peers, clock)
+        self.eligible: frozenset[str] = frozenset()
+        self.moves = SampleMoves(owned, clock, self._take_back)
+        self.urgent_loads = UrgentLoads(owned, peers, clock)
         self.lock = threading.Lock()
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start sending samples."""
+        """Start the loop that sends samples."""
         start_loop(self._run, self.stopped)
 
     def drop(self, lot: OwnedLot, let_finish: bool) -> None:
-        """Tell the sidecars that the samples of a lot are not wanted any more."""
+        """Tell the sidecars that the samples of a lot are no longer needed."""
         for view in list(self.views.values()):
             with self.owned.lock:
-                have = lot.book.at_runner(view.member.name)
-            if have:
-                self._drop(view, have, let_finish)
+                known_events = lot.book.at_runner(view.member.name)
+            if known_events:
+                self._drop(view, known_events, let_finish)
 
     def _run(self) -> None:
         while not self.stopped.is_set():
-            self.owned.work.wait(TURN_S)
-            self.owned.work.clear()
+            self.owned.work_available.wait(POLL_INTERVAL_S)
+            self.owned.work_available.clear()
             if not self.owned.open():
                 continue
-            self._refresh()
-            self._look()
-            self.moves.turn(self._usable())
-            self._send()
-            self.hurried.turn(list(self._usable().values()))
+            self._refresh_views()
+            self._find_partial_texts()
+            self.moves.run_once(self._eligible_views())
+            self._send_waiting()
+            self.urgent_loads.run_once(list(self._eligible_views().values()))
 
-    def _refresh(self) -> None:
-        """Keep one view and one collector for each sidecar that may run samples of our lots."""
+    def _refresh_views(self) -> None:
+        """Keep one view and one collector for each sidecar that may run samples of owned lots."""
         models = {lot.book.lot.model for lot in self.owned.open()}
-        members = {one.name: one for one in self.members.members(models, self._not_answering())}
+        members = {one.name: one for one in self.members.members(models, self._unresponsive())}
         with self.lock:
-            self.asked = frozenset(members)
+            self.eligible = frozenset(members)
             for name in self.views.keys() - members.keys() - self.collectors:
                 del self.views[name]
             for name, member in members.items():
@@ -113,25 +113,25 @@
                     view.member = member
                 self._start_collector(name)
 
-    def _not_answering(self) -> list[str]:
-        """Return those that are asked and do not answer; their samples have stopped by now."""
+    def _unresponsive(self) -> list[str]:
+        """Return the sidecars that do not answer; by now they have stopped their samples."""
         now = self.clock.now()
-        late = [
+        unresponsive = [
             view
             for name, view in list(self.views.items())
             if name in self.collectors and now - max(view.heard, view.since) > LOST_AFTER_S
         ]
-        for view in late:
+        for view in unresponsive:
             if view.status is not None:
-                self.news.lose(view, self.owned.open(), "silent")
-        return [view.member.name for view in late]
+                self.updates.mark_lost(view, self.owned.open(), "silent")
+        return [view.member.name for view in unresponsive]
 
-    def _usable(self) -> dict[str, RunnerView]:
-        """Return those that are given samples: not one that only ends what it has."""
-        return {name: view for name, view in list(self.views.items()) if name in self.asked}
+    def _eligible_views(self) -> dict[str, RunnerView]:
+        """Return the sidecars that get new samples, not those that only finish what they have."""
+        return {name: view for name, view in list(self.views.items()) if name in self.eligible}
 
     def _start_collector(self, name: str) -> None:
-        """Start collecting from a sidecar unless that is done already."""
+        """Start collecting from a sidecar unless a collector runs already."""
         if name in self.collectors:
             return
         self.collectors.add(name)
@@ -140,59 +140,59 @@
         ).start()
 
     def _collect_from(self, name: str) -> None:
-        """Collect from one sidecar for as long as it is asked for samples or has some of ours."""
+        """Collect from one sidecar while it gets new samples or still runs some of ours."""
         while not self.stopped.is_set():
             view = self.views[name]
             try:
-                if not self._collect(view):
+                if not self._collect_once(view):
                     break
-            except Exception as error:  # the loop goes on: its samples would be stuck else
+            except Exception as error:  # keep collecting, otherwise its samples would be stuck
                 log_state("collect_failed", sidecar=name, error=repr(error))
-                self.stopped.wait(SILENT_PAUSE_S)
+                self.stopped.wait(UNRESPONSIVE_RETRY_S)
         with self.lock:
             self.collectors.discard(name)
 
-    def _collect(self, view: RunnerView) -> bool:
-        """Ask once for news; false if there is nothing to ask for."""
+    def _collect_once(self, view: RunnerView) -> bool:
+        """Ask a sidecar once for updates; false if there is nothing to ask for."""
         name = view.member.name
         lots = self.owned.open()
         if not lots:
             return False
         with self.owned.lock:
-            have = {key: n for lot in lots for key, n in lot.book.at_runner(name).items()}
-        if not have and name not in self.asked:
+            known_events = {key: n for lot in lots for key, n in lot.book.at_runner(name).items()}
+        if not known_events and name not in self.eligible:
             return False
         facts = self.peers.facts_for(view.member)
         engine = view.member.endpoint
-        ask = Collect(*self.peers.myself, facts, have, COLLECT_WAIT_S, engine)
-        reply = self.peers.ask(view.member.address, ask, COLLECT_WAIT_S + ANSWER_MARGIN_S)
+        ask = Collect(*self.peers.myself, facts, known_events, COLLECT_WAIT_S, engine)
+        reply = self.peers.ask(view.member.address, ask, COLLECT_WAIT_S + RESPONSE_MARGIN_S)
         if not isinstance(reply, Updates):
-            self._silent(view, lots)
+            self._handle_no_reply(view, lots)
             return True
-        self.news.heard(view, reply.status)
-        self.news.take(view, lots, reply)
+        self.updates.record_status(view, reply.status)
+        self.updates.apply_updates(view, lots, reply)
         return True
 
-    def _silent(self, view: RunnerView, lots: list[OwnedLot]) -> None:
-        """Count a sidecar that does not answer as lost once its samples must have stopped."""
+    def _handle_no_reply(self, view: RunnerView, lots: list[OwnedLot]) -> None:
+        """Count an unresponsive sidecar as lost once its samples must have stopped."""
         now = self.clock.now()
         if now - view.heard > LOST_AFTER_S:
-            self.news.lose(view, lots, "silent")
-        self.stopped.wait(SILENT_PAUSE_S)
+            self.updates.mark_lost(view, lots, "silent")
+        self.stopped.wait(UNRESPONSIVE_RETRY_S)
 
-    def _look(self) -> None:
-        """Ask the sidecars for text that they kept of a new lot's samples."""
+    def _find_partial_texts(self) -> None:
+        """Ask the sidecars for partial text of a new lot's samples."""
         for lot in self.owned.open():
-            if lot.looked:
+            if lot.partial_texts_requested:
                 continue
-            lot.looked = True
+            lot.partial_texts_requested = True
             with self.owned.lock:
                 wanted = tuple(
                     name
                     for name, state in lot.book.states.items()
                     if state.phase is Phase.WAITING and not state.events
                 )
-            views = list(self._usable().values())
+            views = list(self._eligible_views().values())
             min_version = lot.book.lot.min_version
             asks = [
                 (
@@ -203,26 +203,31 @@
             ]
             replies = self.peers.ask_members(asks, FIND_TIMEOUT_S)
             for view in views:
-                self._found(lot, view, replies.get(view.member.name))
+                self._submit_found(lot, view, replies.get(view.member.name))
 
-    def _found(self, lot: OwnedLot, view: RunnerView, reply: AnyReply | None) -> None:
-        """Send samples to the sidecar that kept their text."""
+    def _submit_found(self, lot: OwnedLot, view: RunnerView, reply: AnyReply | None) -> None:
+        """Send samples to the sidecar that has their partial text."""
         if not isinstance(reply, Found):
             return
-        self.news.heard(view, reply.status)
+        self.updates.record_status(view, reply.status)
         with self.owned.lock:
             samples = [
                 name
                 for name in reply.samples
                 if lot.book.states[name].phase is Phase.WAITING
-                and self.samples.may_go_on(lot, name)
+                and self.crash_guard.may_run_anywhere(lot, name)
             ]
         if samples:
-            log_state("text_found", lot=lot.lot_id, sidecar=view.member.name, samples=reply.samples)
+            log_state(
+                "partial_text_found",
+                lot=lot.lot_id,
+                sidecar=view.member.name,
+                samples=reply.samples,
+            )
             self._submit(view, [(lot, name) for name in samples])
 
-    def _send(self) -> None:
-        """Give waiting samples to sidecars that have room."""
+    def _send_waiting(self) -> None:
+        """Send waiting samples to sidecars with free slots."""
         threads = [
             threading.Thread(target=self._submit, args=(self.views[name], batch), daemon=True)
             for name, batch in self._batches().items()
@@ -233,60 +238,60 @@
             thread.join(ASK_TIMEOUT_S)
 
     def _batches(self) -> dict[str, list[tuple[OwnedLot, str]]]:
-        """Return the waiting samples by the sidecar that each is to go to."""
+        """Return the waiting samples by the sidecar chosen for each."""
         now = self.clock.now()
-        views = list(self._usable().values())
+        views = list(self._eligible_views().values())
         batches: dict[str, list[tuple[OwnedLot, str]]] = {}
         for lot in self.owned.open():
-            wanted = lot.book.lot
+            request = lot.book.lot
             with self.owned.lock:
                 waiting = [(one.sample.id, one.last_runner) for one in lot.book.waiting(now)]
             for name, avoid in waiting:
-                near = self.peers.data_centre
-                able = self.samples.open_to(lot, name, views)
-                view = place(able, wanted.model, wanted.min_version, near, avoid, now)
-                if view is None and able is views:
+                data_centre = self.peers.data_centre
+                allowed = self.crash_guard.allowed_runners(lot, name, views)
+                view = place(allowed, request.model, request.min_version, data_centre, avoid, now)
+                if view is None and allowed is views:
                     break
-                if view is None or not self.samples.admit(lot, name, view.member.name, now):
+                if view is None or not self.crash_guard.admit(lot, name, view.member.name, now):
                     continue
                 view.taken += 1
                 batches.setdefault(view.member.name, []).append((lot, name))
         return batches
 
     def _submit(self, view: RunnerView, batch: list[tuple[OwnedLot, str]]) -> None:
-        """Send samples to one sidecar and note which it took."""
+        """Send samples to one sidecar and record which it accepted."""
         name = view.member.name
         with self.owned.lock:
-            orders = tuple(self._order(lot, sample, name) for lot, sample in batch)
+            orders = tuple(self._assign(lot, sample, name) for lot, sample in batch)
         facts = self.peers.facts_for(view.member)
         ask = Submit(*self.peers.myself, facts, orders, view.member.endpoint)
         reply = self.peers.ask(view.member.address, ask, ASK_TIMEOUT_S)
         now = self.clock.now()
         taken: dict[str, str] = {}
-        pause = SILENT_PAUSE_S
+        pause = UNRESPONSIVE_RETRY_S
         if isinstance(reply, Accepted):
-            self.news.heard(view, reply.status)
+            self.updates.record_status(view, reply.status)
             taken = reply.samples
-            pause = NOT_TAKEN_PAUSE_S
-        self._note_submitted(name, batch, taken, now + pause)
+            pause = REFUSED_RETRY_S
+        self._record_submitted(name, batch, taken, now + pause)
         for lot in {id(lot): lot for lot, _ in batch if lot.book.ended}.values():
-            self.drop(lot, let_finish=False)  # it was ended while they were on their way
+            self.drop(lot, let_finish=False)  # it ended while they were being sent
 
-    def _note_submitted(
-        self, name: str, batch: list[tuple[OwnedLot, str]], taken: dict[str, str], again_at: float
+    def _record_submitted(
+        self, name: str, batch: list[tuple[OwnedLot, str]], taken: dict[str, str], retry_at: float
     ) -> None:
-        """Note which samples a sidecar took; the others wait until ``again_at``."""
+        """Record which samples a sidecar accepted; the others wait until ``retry_at``."""
         refused = [(lot, sample) for lot, sample in batch if sample not in taken]
         with self.owned.lock:
             for lot, sample in batch:
                 if sample in taken:
                     lot.book.accepted(sample, name, taken[sample])
             for lot, sample in refused:
-                lot.book.give_back(sample, name, again_at)
+                lot.book.give_back(sample, name, retry_at)
         log_state("samples_sent", sidecar=name, taken=sorted(taken), refused=len(refused))
 
-    def _order(self, lot: OwnedLot, sample: str, runner: str) -> RunOrder:
-        """Assign a sample to a sidecar and return what to ask of it."""
+    def _assign(self, lot: OwnedLot, sample: str, runner: str) -> RunOrder:
+        """Assign a sample to a sidecar and return the order to send."""
         book = lot.book
         state = book.states[sample]
         book.assign(sample, runner)
@@ -305,17 +310,17 @@
             organisation=book.lot.organisation,
         )
 
-    def _cut(self, view: RunnerView, have: dict[str, int]) -> None:
-        """End samples at a sidecar and take their last events."""
-        self._drop(view, have, let_finish=False)
+    def _take_back(self, view: RunnerView, known_events: dict[str, int]) -> None:
+        """Stop samples at a sidecar and collect their last events."""
+        self._drop(view, known_events, let_finish=False)
 
-    def _drop(self, view: RunnerView, have: dict[str, int], let_finish: bool) -> None:
-        """Drop samples at a sidecar and take their last events."""
-        ask = Drop(*self.peers.myself, have, let_finish, view.member.endpoint)
+    def _drop(self, view: RunnerView, known_events: dict[str, int], let_finish: bool) -> None:
+        """Drop samples at a sidecar and collect their last events."""
+        ask = Drop(*self.peers.myself, known_events, let_finish, view.member.endpoint)
         reply = self.peers.ask(view.member.address, ask, ASK_TIMEOUT_S)
         if isinstance(reply, Updates):
-            self.news.heard(view, reply.status)
-            self.news.take(view, self.owned.open(), reply)
+            self.updates.record_status(view, reply.status)
+            self.updates.apply_updates(view, self.owned.open(), reply)
 
 
 __all__ = ["SampleDispatcher"]
--- a/src/threadramp/lots/end_notices.py
+++ b/src/threadramp/lots/end_notices.py
@@ -1,8 +1,8 @@
-"""Tells other gateways of ends that this one wrote for lots that another may be running.
+"""Notifies other gateways of ends that this one wrote for lots that another may be running.
 
-The store keeps an end, but nobody watches the heads of lots there: calls are priced. A gateway that
-runs a lot, or believes so since it does not know that another took it over, would learn of an end
-only with its next write, and begin samples that nobody wants.
+The store records an end, but nobody watches the heads of lots there, since calls are billed. A
+gateway that runs a lot, or still runs it because it does not know that another has taken it over,
+would learn of the end only at its next write, and start samples that nobody needs.
 """
 
 from __future__ import annotations
@@ -19,68 +19,71 @@
     from threadramp.fleet.peers import Peers
     from threadramp.lots.model import StoredHead
 
-TOLD_FOR_S = 8.0  # a gateway that was not listed, frozen or cut off is in touch again by then
-URGENT_S = 3.0  # samples may begin for so long after an end on the users' sheets
-TURN_S = 0.3  # while a notice is urgent
-LATER_TURN_S = 1.0
-ANSWER_S = 0.4
+NOTICE_TTL_S = 8.0  # an unlisted, frozen or disconnected gateway is reachable again by then
+FAST_RETRY_FOR_S = 3.0  # the users' requirements allow samples to start this long after an end
+FAST_RETRY_S = 0.3  # during FAST_RETRY_FOR_S
+SLOW_RETRY_S = 1.0
+ANSWER_TIMEOUT_S = 0.4
 
 
 class EndNotices:
-    """Repeats each notice to all gateways until one says that it ran the lot."""
+    """Sends each notice to all gateways repeatedly until one confirms that it ran the lot."""
 
     def __init__(self, peers: Peers, clock: Clock) -> None:
         self.peers = peers
         self.clock = clock
-        self.open: dict[str, tuple[StoredHead, float]] = {}
+        self.pending: dict[str, tuple[StoredHead, float]] = {}
         self.lock = threading.Lock()
-        self.any_open = threading.Event()
+        self.has_pending = threading.Event()
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start telling."""
+        """Start sending notices."""
         start_loop(self._run, self.stopped)
 
     def notify(self, stored: StoredHead) -> None:
-        """Let the others know of an end that the store keeps."""
+        """Notify the other gateways of an end that is stored."""
         with self.lock:
-            self.open.setdefault(stored.lot_id, (stored, self.clock.now() + TOLD_FOR_S))
-        self.any_open.set()
+            self.pending.setdefault(stored.lot_id, (stored, self.clock.now() + NOTICE_TTL_S))
+        self.has_pending.set()
 
-    def one_turn(self) -> bool:
-        """Tell what is to be told; true if there is more to tell later."""
+    def run_once(self) -> bool:
+        """Send the pending notices; true if some are still pending afterwards."""
         with self.lock:
-            notices = list(self.open.values())
+            notices = list(self.pending.values())
         for stored, until in notices:
-            runner = self._runner_of(stored)
+            runner = self._notify_gateways(stored)
             if runner or self.clock.now() >= until:
-                log_state("end_told", lot=stored.lot_id, gateway=runner, revision=stored.revision)
+                log_state(
+                    "end_notice_closed", lot=stored.lot_id, gateway=runner, revision=stored.revision
+                )
                 with self.lock:
-                    del self.open[stored.lot_id]
+                    del self.pending[stored.lot_id]
         with self.lock:
-            return bool(self.open)
+            return bool(self.pending)
 
     def _run(self) -> None:
         while not self.stopped.is_set():
-            self.any_open.wait()
-            self.any_open.clear()
-            while self.one_turn():
+            self.has_pending.wait()
+            self.has_pending.clear()
+            while self.run_once():
                 self.stopped.wait(self._pause_s())
 
     def _pause_s(self) -> float:
         with self.lock:
-            newest = max((until for _, until in self.open.values()), default=0.0)
-        age = TOLD_FOR_S - (newest - self.clock.now())
-        return TURN_S if age < URGENT_S else LATER_TURN_S
+            newest = max((until for _, until in self.pending.values()), default=0.0)
+        age = NOTICE_TTL_S - (newest - self.clock.now())
+        return FAST_RETRY_S if age < FAST_RETRY_FOR_S else SLOW_RETRY_S
 
-    def _runner_of(self, stored: StoredHead) -> str:
-        """Tell all gateways; returns the one that ran the lot, empty if none said so.
+    def _notify_gateways(self, stored: StoredHead) -> str:
+        """Notify all gateways; returns the one that ran the lot, empty if none confirmed it.
 
-        One that is not listed may run it: it is told before it has listed itself again.
+        Gateways that are missing in the member list may run it too, and are notified before they
+        are listed again.
         """
         gateways = self.peers.gateways_lately()
         ask = EndKept(*self.peers.myself, stored)
-        replies = self.peers.ask_all({one.address: ask for one in gateways}, ANSWER_S)
+        replies = self.peers.ask_all({one.address: ask for one in gateways}, ANSWER_TIMEOUT_S)
         for one in gateways:
             reply = replies.get(one.address)
             if isinstance(reply, LotEnded) and reply.owned:
@@ -88,4 +91,4 @@
         return ""
 
 
-__all__ = ["TOLD_FOR_S", "EndNotices"]
+__all__ = ["NOTICE_TTL_S", "EndNotices"]
--- a/src/threadramp/lots/journal.py
+++ b/src/threadramp/lots/journal.py
@@ -1,7 +1,7 @@
-"""Keeps lots in the platform's store: one head a lot, under whose revision every change stands.
+"""Stores lots in the platform's store; every change is conditional on the revision of a lot's head.
 
-Two processes that both believe they own a lot can not break it: what counts is the one conditional
-write that takes effect.
+Two processes that both consider themselves the owner of a lot therefore can't corrupt it: only the
+one conditional write that the store commits counts.
 """
 
 from __future__ import annotations
@@ -41,23 +41,23 @@
 HEAD_PREFIX = "lot/"
 PART_PREFIX = "lot-part/"
 CHUNK_PREFIX = "lot-chunk/"
-PART_BYTES = 600_000  # a value may have a megabyte, and a body two of these in base64
-REMOVED_AT_ONCE = MAX_ENTRIES - 1  # beside the condition
+PART_BYTES = 600_000  # a value may have 1 MB, and a request body two such parts in base64
+MAX_REMOVALS_PER_WRITE = MAX_ENTRIES - 1  # one entry is left for the condition
 
 
 class LotMissingError(Exception):
-    """The store says that there is no such lot."""
+    """The store has no such lot."""
 
 
 class NotOwnerError(Exception):
-    """Another gateway owns the lot by now.
+    """The head of the lot was changed by another gateway, which owns the lot now.
 
-    :param head: as it stands
+    :param head: the head that the store has
     """
 
     def __init__(self, head: LotHead) -> None:
         self.head = head
-        super().__init__(f"owned by {head.owner}")
+        super().__init__(f"the lot is owned by {head.owner} now")
 
 
 class LotJournal:
@@ -66,134 +66,137 @@
     def __init__(self, store: StoreClient) -> None:
         self.store = store
 
-    def create(self, lot: Lot, head: LotHead, patience_s: float = RETRY_FOR_S) -> StoredHead | None:
-        """Keep a new lot; none if the store has it already.
+    def create(
+        self, lot: Lot, head: LotHead, retry_for_s: float = RETRY_FOR_S
+    ) -> StoredHead | None:
+        """Store a new lot; none if the store already has it.
 
-        :param patience_s: for so long it is tried while the store is away or silent
-        :raises StoreRefusedError: if it is not kept
-        :raises StoreUnknownError: if it may be kept
+        :param retry_for_s: how long to retry while the store is unreachable or does not answer
+        :raises StoreRefusedError: if the lot is not stored
+        :raises StoreUnknownError: if it is unknown whether the lot is stored
         """
         data = encode(lot)
         parts = [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
-        head = msgspec.structs.replace(head, parts=len(parts), nonce=_nonce())
+        head = msgspec.structs.replace(head, parts=len(parts), nonce=_new_nonce())
         puts = [Put(_part_key(lot.id, number), part) for number, part in enumerate(parts)]
-        writes = RetriedWrites(self.store, patience_s, waits=True)
+        writes = RetriedWrites(self.store, retry_for_s, retry_refused=True)
         for put in puts[1:]:
             writes.send(Transaction(puts=(put,)))
         key = HEAD_PREFIX + lot.id
         transaction = Transaction({key: ABSENT}, (puts[0], Put(key, encode(head))))
-        answer = writes.settle(key, transaction, head.nonce)
+        answer = writes.commit(key, transaction, head.nonce)
         return StoredHead(lot.id, head, answer.revision) if isinstance(answer, Committed) else None
 
     def append(self, stored: StoredHead, results: Sequence[Result]) -> StoredHead:
-        """Keep results at the next positions.
+        """Store results at the next positions.
 
-        :raises NotOwnerError: if the lot changed hands
-        :raises StoreError: if it is not known to be kept
+        :raises NotOwnerError: if another gateway owns the lot now
+        :raises StoreError: if it is unknown whether the results are stored
         """
         head = stored.head
         put = Put(_chunk_key(stored.lot_id, head.chunks), encode(tuple(results)))
-        grown = msgspec.structs.replace(
-            head, chunks=head.chunks + 1, listed=head.listed + len(results), nonce=_nonce()
+        new_head = msgspec.structs.replace(
+            head, chunks=head.chunks + 1, listed=head.listed + len(results), nonce=_new_nonce()
         )
-        return self._advance(stored, grown, (put,))
+        return self._update_head(stored, new_head, (put,))
 
-    def change(self, stored: StoredHead, **fields: object) -> StoredHead:
-        """Change fields of the head, such as its owner or that it has ended.
+    def update(self, stored: StoredHead, **fields: object) -> StoredHead:
+        """Change fields of the head, such as its owner or that the lot has ended.
 
-        :raises NotOwnerError: if the head changed meanwhile
-        :raises StoreError: if it is not known to be kept
+        :raises NotOwnerError: if the head has changed meanwhile
+        :raises StoreError: if it is unknown whether the change is stored
         """
-        return self._advance(
-            stored, msgspec.structs.replace(stored.head, nonce=_nonce(), **fields), ()
+        return self._update_head(
+            stored, msgspec.structs.replace(stored.head, nonce=_new_nonce(), **fields), ()
         )
 
-    def head(self, lot_id: str) -> StoredHead | None:
+    def read_head(self, lot_id: str) -> StoredHead | None:
         """Read a lot's head; none if the store has no such lot.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
         item = self.store.get(HEAD_PREFIX + lot_id)
-        return None if item is None else _kept(item)
+        return None if item is None else _decode_stored(item)
 
-    def heads(self) -> list[StoredHead]:
+    def list_heads(self) -> list[StoredHead]:
         """Read the heads of all lots.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
-        return [_kept(item) for item in self.store.list(HEAD_PREFIX).items]
+        return [_decode_stored(item) for item in self.store.list(HEAD_PREFIX).items]
 
     def load(self, lot_id: str) -> StoredLot:
-        """Read a whole lot.
+        """Read a complete lot.
 
         :raises LotMissingError: if the store has no such lot
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
-        stored = self.head(lot_id)
+        stored = self.read_head(lot_id)
         if stored is None:
             raise LotMissingError(lot_id)
-        return self.whole(stored)
+        return self.load_from_head(stored)
 
-    def whole(self, stored: StoredHead) -> StoredLot:
-        """Read what stands behind a head.
+    def load_from_head(self, stored: StoredHead) -> StoredLot:
+        """Read the request and the results that a head refers to.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
-        return StoredLot(stored, self.hand_in(stored), self.results(stored, 0))
+        return StoredLot(stored, self.read_lot(stored), self.read_results(stored, 0))
 
-    def hand_in(self, stored: StoredHead) -> Lot:
-        """Read what was handed in.
+    def read_lot(self, stored: StoredHead) -> Lot:
+        """Read the lot as the trainer submitted it.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
         keys = [_part_key(stored.lot_id, number) for number in range(stored.head.parts)]
-        return decode_lot(b"".join(self._value(key) for key in keys))
+        return decode_lot(b"".join(self._read_value(key) for key in keys))
 
-    def results(self, stored: StoredHead, first_chunk: int) -> tuple[Result, ...]:
+    def read_results(self, stored: StoredHead, first_chunk: int) -> tuple[Result, ...]:
         """Read the results of all chunks from ``first_chunk`` on.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
         numbers = range(first_chunk, stored.head.chunks)
-        values = self._listed_chunks(stored.lot_id) if len(numbers) > 1 else {}
+        values = self._list_chunks(stored.lot_id) if len(numbers) > 1 else {}
         found: list[Result] = []
         for number in numbers:
             key = _chunk_key(stored.lot_id, number)
             value = values.get(key)
-            found.extend(decode_results(self._value(key) if value is None else value))
+            found.extend(decode_results(self._read_value(key) if value is None else value))
         return tuple(found)
 
-    def _listed_chunks(self, lot_id: str) -> dict[str, bytes]:
-        """Read all chunks of a lot with as few calls as there are pages; a lot has ten or more."""
+    def _list_chunks(self, lot_id: str) -> dict[str, bytes]:
+        """Read all chunks of a lot, one call a page; a lot has ten chunks or more."""
         items = self.store.list(f"{CHUNK_PREFIX}{lot_id}/", direct_when_shut=True).items
         return {item.key: item.value for item in items}
 
     def remove(self, stored: StoredHead) -> bool:
-        """Remove a lot that nobody may ask for any more; false if another stands there by now.
+        """Remove a lot that is past its retention; false if a later lot of this id exists by now.
 
-        All of it goes under its head's revision, and the head last: what is done late, or by one
-        that stood still since it listed the heads, leaves a later lot of the same id alone.
+        Every removal is conditional on the revision of the head, and the head is removed last. A
+        removal that is late, or that comes from a process that was suspended after it listed the
+        heads, thus leaves a later lot of the same id alone.
 
-        :raises StoreError: if it is not known to be removed
+        :raises StoreError: if it is unknown whether the lot is removed
         """
         key = HEAD_PREFIX + stored.lot_id
         names = [_part_key(stored.lot_id, number) for number in range(stored.head.parts)]
         names += [_chunk_key(stored.lot_id, number) for number in range(stored.head.chunks)]
         names += [item.key for item in self.store.list(f"{TEXT_PREFIX}{stored.lot_id}/").items]
         names.append(key)
-        for start in range(0, len(names), REMOVED_AT_ONCE):
-            some = tuple(names[start : start + REMOVED_AT_ONCE])
-            transaction = Transaction({key: stored.revision}, removals=some)
+        for start in range(0, len(names), MAX_REMOVALS_PER_WRITE):
+            batch = tuple(names[start : start + MAX_REMOVALS_PER_WRITE])
+            transaction = Transaction({key: stored.revision}, removals=batch)
             answer = self.store.transact(transaction, repeatable=True)
             if not isinstance(answer, Committed):
-                return key not in answer.current  # done before, or by another box
+                return key not in answer.current  # removed before, or by another box
         return True
 
-    def _advance(self, stored: StoredHead, head: LotHead, puts: tuple[Put, ...]) -> StoredHead:
+    def _update_head(self, stored: StoredHead, head: LotHead, puts: tuple[Put, ...]) -> StoredHead:
         key = HEAD_PREFIX + stored.lot_id
         transaction = Transaction({key: stored.revision}, (*puts, Put(key, encode(head))))
-        writes = RetriedWrites(self.store, RETRY_FOR_S, waits=False)
-        answer = writes.settle(key, transaction, head.nonce)
+        writes = RetriedWrites(self.store, RETRY_FOR_S, retry_refused=False)
+        answer = writes.commit(key, transaction, head.nonce)
         if isinstance(answer, Committed):
             return StoredHead(stored.lot_id, head, answer.revision)
         current = answer.current.get(key)
@@ -201,14 +204,14 @@
             raise LotMissingError(stored.lot_id)
         raise NotOwnerError(decode_head(current.value))
 
-    def _value(self, key: str) -> bytes:
+    def _read_value(self, key: str) -> bytes:
         item = self.store.get(key)
         if item is None:
-            raise StoreUnknownError(f"{key} is missing beside its head")
+            raise StoreUnknownError(f"the head refers to {key}, which the store does not have")
         return item.value
 
 
-def _kept(item: Item) -> StoredHead:
+def _decode_stored(item: Item) -> StoredHead:
     return StoredHead(item.key.removeprefix(HEAD_PREFIX), decode_head(item.value), item.revision)
 
 
@@ -220,7 +223,7 @@
     return f"{CHUNK_PREFIX}{lot_id}/{number}"
 
 
-def _nonce() -> str:
+def _new_nonce() -> str:
     return secrets.token_hex(8)
 
 
--- a/src/threadramp/lots/model.py
+++ b/src/threadramp/lots/model.py
@@ -1,4 +1,4 @@
-"""A lot, its samples and their results, as they are kept and passed on."""
+"""A lot, its samples and their results, as stored and as sent between processes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import msgspec
 
-DEFAULT_RANK = 5  # what engines take where none is named
+DEFAULT_RANK = 5  # what engines assume for a request without a priority
 
 
 class Reward(msgspec.Struct, frozen=True, array_like=True):
-    """The call that scores a sample once its text is whole."""
+    """The call that scores a sample once its text is complete."""
 
     id: str
     host: str
@@ -19,12 +19,12 @@
 
 
 class Sample(msgspec.Struct, frozen=True, array_like=True):
-    """One sample of a lot, as the trainer asked for it.
+    """One sample of a lot, as the trainer requested it.
 
-    :param headers: pairs of name and value, passed on as they are
-    :param tokens: of the prompt and at most of the answer, summed
+    :param headers: pairs of name and value, passed on unchanged
+    :param tokens: tokens of the prompt plus the maximum of the answer
     :param group: samples of one group share their prompt
-    :param expected_tokens: the trainer's guess at the length of the answer, 0 if it gave none
+    :param expected_tokens: the trainer's estimate of the answer's length, 0 if it gave none
     """
 
     id: str
@@ -38,12 +38,12 @@
 
 
 class Lot(msgspec.Struct, frozen=True, array_like=True):
-    """What a trainer handed in for one step.
+    """What a trainer submitted for one step.
 
-    :param min_version: oldest version of the weights that may have made a token
-    :param wanted_groups: whole groups that the trainer waits for
-    :param organisation: whose lot it is, empty if nobody's in particular, none where the
-        configuration named no organisations
+    :param min_version: oldest version of the weights that may generate a token
+    :param wanted_groups: number of complete groups that the trainer waits for
+    :param organisation: owner of the lot, empty if it has none, None if the configuration names no
+        organisations
     """
 
     id: str
@@ -65,7 +65,7 @@
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """What stands at one position of a lot; it never changes.
+    """The result at one position of a lot; it never changes.
 
     :param score: the signature of the reward call's answer
     """
@@ -78,20 +78,21 @@
 
 
 class LotHead(msgspec.Struct, frozen=True, array_like=True):
-    """The part of a lot in the store under which all its changes are conditional.
+    """A lot's metadata record in the store; every change to the lot is conditional on its revision.
 
-    :param owner: name of the gateway that runs it
+    :param owner: name of the gateway that runs the lot
     :param incarnation: of that gateway's process
-    :param handed_in: seconds of the time of day at which it was taken
-    :param result_target_s: results are due this long after the hand-in
-    :param give_up_s: a sample may be given up this long after the hand-in
+    :param submitted_at: time of day of the submission, in seconds
+    :param result_target_s: results are due this long after the submission
+    :param give_up_s: a sample may be given up this long after the submission
     :param max_attempts: failed runs after which a sample is given up
     :param one_version: whether all of a sample must come from one version of the weights
-    :param parts: pieces in which the hand-in is kept
-    :param chunks: pieces of results that are kept
-    :param listed: positions in those pieces
-    :param nonce: names the write that made this head, so that its writer knows it again
-    :param rank: of its route among what engines run, 0 is the most urgent
+    :param parts: number of store entries that hold the submitted lot
+    :param chunks: number of stored chunks of results
+    :param listed: number of results in those chunks
+    :param nonce: identifies the write that made this head, so that a writer whose answer was lost
+        recognises its own write
+    :param rank: priority of the lot's route among the work of an engine, 0 is the most urgent
     """
 
     owner: str
@@ -111,11 +112,11 @@
 
 
 class SavedText(msgspec.Struct, frozen=True, array_like=True):
-    """Events of a sample that is not finished, kept so that it need not begin anew.
+    """Events of an unfinished sample, saved so that it need not start from the beginning.
 
     :param base: number of events before these
     :param versions: of the weights, one for each of ``events``
-    :param lineage: names the chain that the events are of
+    :param lineage: names the chain that the events belong to
     """
 
     sample: str
@@ -126,7 +127,7 @@
 
 
 class StoredHead(msgspec.Struct, frozen=True, array_like=True):
-    """A lot's head with the revision at which it stands."""
+    """A lot's head with its revision in the store."""
 
     lot_id: str
     head: LotHead
@@ -134,7 +135,7 @@
 
 
 class StoredLot(msgspec.Struct, frozen=True, array_like=True):
-    """A whole lot as the store has it."""
+    """A complete lot as the store has it."""
 
     stored: StoredHead
     lot: Lot
@@ -142,7 +143,7 @@
 
 
 def encode(value: msgspec.Struct | tuple) -> bytes:
-    """Encode for the store or a peer."""
+    """Encode a value for the store or a peer."""
     return msgspec.msgpack.encode(value)
 
 
--- a/src/threadramp/lots/owned.py
+++ b/src/threadramp/lots/owned.py
@@ -12,24 +12,25 @@
     from threadramp.core.lot_book import LotBook
     from threadramp.lots.model import Result, StoredHead
 
-MAX_PAGE_CHARACTERS = 600_000  # a page of results may have a megabyte
+MAX_PAGE_CHARACTERS = 600_000  # a page of results may have 1 MB
 
 
 @dataclass
 class OwnedLot:
-    """One lot with what the store is known to have of it.
-
-    :param kept: its head; replaced with each write
-    :param looked: whether sidecars were asked for text that they kept of its samples
-    :param others: whether another box ran it before, which may not know that it does not any more
-    :param sure_at: time at which the store last took a write of ours under the head's condition, so
-        that nobody else can have owned it before
+    """One owned lot with its last known state in the store.
+
+    :param stored: its head; replaced with each write
+    :param partial_texts_requested: whether sidecars were asked for partial text of its samples
+    :param had_other_owner: whether another box ran it before, which may not know that it is no
+        longer the owner
+    :param ownership_confirmed_at: time at which the store last accepted a conditional write of
+        ours, so that nobody else can have owned the lot before
     """
 
     book: LotBook
     stored: StoredHead
-    looked: bool = False
-    others: bool = False
+    partial_texts_requested: bool = False
+    had_other_owner: bool = False
     ownership_confirmed_at: float = float("-inf")
 
     @property
@@ -42,7 +43,7 @@
 class Page:
     """Results from a position on.
 
-    :param total: samples of the lot
+    :param total: number of samples in the lot
     """
 
     total: int
@@ -56,16 +57,16 @@
     def __init__(self) -> None:
         self.lots: dict[str, OwnedLot] = {}
         self.lock = threading.RLock()
-        self.listed = threading.Condition(self.lock)
-        self.work = threading.Event()
+        self.listing_changed = threading.Condition(self.lock)
+        self.work_available = threading.Event()
 
     def add(self, owned: OwnedLot) -> bool:
-        """Add a lot; false if it is there already."""
+        """Add a lot; false if it exists already."""
         with self.lock:
             if owned.lot_id in self.lots:
                 return False
             self.lots[owned.lot_id] = owned
-        self.work.set()
+        self.work_available.set()
         return True
 
     def get(self, lot_id: str) -> OwnedLot | None:
@@ -74,28 +75,28 @@
             return self.lots.get(lot_id)
 
     def remove(self, lot_id: str) -> OwnedLot | None:
-        """Take a lot out; readers that wait for it are told."""
+        """Remove a lot and wake the readers that wait for its results."""
         with self.lock:
             owned = self.lots.pop(lot_id, None)
-            self.listed.notify_all()
+            self.listing_changed.notify_all()
             return owned
 
     def open(self) -> list[OwnedLot]:
-        """Return the lots that are not ended, the one that is due first at the front."""
+        """Return the lots that have not ended, the one that is due first at the front."""
         with self.lock:
             found = [owned for owned in self.lots.values() if not owned.book.ended]
         found.sort(key=lambda owned: owned.book.rules.due)
         return found
 
-    def tell_listed(self) -> None:
+    def notify_readers(self) -> None:
         """Wake the readers that wait for results."""
         with self.lock:
-            self.listed.notify_all()
+            self.listing_changed.notify_all()
 
     def page(self, lot_id: str, after: int, wait: Callable[[], float]) -> Page | None:
         """Return results from a position on, waiting for the first if there is none yet.
 
-        :param wait: returns the seconds that are left to wait
+        :param wait: returns the remaining seconds to wait
         """
         with self.lock:
             while True:
@@ -103,15 +104,15 @@
                 if owned is None:
                     return None
                 book = owned.book
-                left = wait()
-                if after < len(book.listed) or book.ended or book.is_whole or left <= 0:
+                remaining_s = wait()
+                if after < len(book.listed) or book.ended or book.is_whole or remaining_s <= 0:
                     results = first_page(book.listed[after:])
                     return Page(len(book.states), book.ended, results)
-                self.listed.wait(left)
+                self.listing_changed.wait(remaining_s)
 
 
 def first_page(results: Iterable[Result]) -> tuple[Result, ...]:
-    """Return as many results as one answer may hold, at least one if there is one."""
+    """Return as many results as fit into one answer, at least one if there is one."""
     page: list[Result] = []
     size = 0
     for result in results:
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -1,4 +1,4 @@
-"""Owns lots: takes them in, ends them, takes them over, hands them over."""
+"""Manages the lots that this gateway owns: submits, ends, takes over and hands over lots."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
     from threadramp.lots.owned import OwnedLots
     from threadramp.policy.listing import Listing
 
-GIVE_UP_MARGIN_S = 1.0  # after the time at which a sample may be given up
-CLOCK_SKEW_S = 6.0  # by which the times of day of two boxes may differ, or one may have jumped
-END_TRIES = 5  # times that a lot's end is written while others change its head
+GIVE_UP_MARGIN_S = 1.0  # added to the time after which a sample may be given up
+MAX_CLOCK_SKEW_S = 6.0  # between the times of day of two boxes, jumps included
+MAX_END_ATTEMPTS = 5  # writes of a lot's end while others change its head
 HAND_OVER_TIMEOUT_S = 1.0
-HAND_OVER_PAUSE_S = 0.3  # before lots are offered again that nobody could be given
+HAND_OVER_RETRY_S = 0.3  # before lots that no gateway took are offered again
 
 
 class LotOwner:
-    """The lots of one gateway.
+    """Manages the lots of one gateway.
 
-    :param drop: tells the sidecars that a lot's samples are not wanted; true lets them finish
-    :param tell_end: lets other gateways know of the end of a lot that may run there
-    :param listing: when results are written
+    :param drop: tells the sidecars that a lot's samples are no longer needed; true lets running
+        ones finish
+    :param notify_end: notifies other gateways of the end of a lot that may run there
+    :param listing: policy that decides when results are written
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         clock: Clock,
         drop: Callable[[OwnedLot, bool], None],
         checkpoints: Checkpoints,
-        tell_end: Callable[[StoredHead], None],
+        notify_end: Callable[[StoredHead], None],
         listing: Listing | None = None,
     ) -> None:
         self.owned = owned
@@ -63,107 +64,115 @@
         self.clock = clock
         self.drop = drop
         self.checkpoints = checkpoints
-        self.tell_end = tell_end
+        self.notify_end = notify_end
         self.listing = listing
-        self.texts = PartialTexts()
+        self.partial_texts = PartialTexts()
         self.lengths: dict[str, Lengths] = {}
         self.stopped = threading.Event()
         self.leaving = False
-        self.ends = RecentEnds()
+        self.recent_ends = RecentEnds()
 
-    def submit(self, lot: Lot, route: Route, patience_s: float) -> None:
-        """Keep a lot and start on it; a lot that is kept already stays as it is.
+    def submit(self, lot: Lot, route: Route, retry_for_s: float) -> None:
+        """Store a lot and start work on it; does nothing if the store already has the lot.
 
-        :param patience_s: for so long it is tried while the store is away or silent
-        :raises StoreRefusedError: if it is not kept
-        :raises StoreUnknownError: if it may be kept
+        :param retry_for_s: how long to retry while the store is unreachable or does not answer
+        :raises StoreRefusedError: if the lot is not stored
+        :raises StoreUnknownError: if it is unknown whether the lot is stored
         """
         if self.owned.get(lot.id) is not None:
             return
         head = self._new_head(lot, route)
-        stored = self.journal.create(lot, head, patience_s)
+        stored = self.journal.create(lot, head, retry_for_s)
         if stored is None:
-            log_state("lot_known", lot=lot.id)
+            log_state("lot_already_stored", lot=lot.id)
             return
-        self._begin(lot, stored)
+        self._start(lot, stored)
 
     def end(self, lot_id: str) -> bool:
-        """End a lot, wherever it is owned; false if the store has no such lot.
+        """End a lot, whoever owns it; false if the store has no such lot.
 
-        :raises StoreError: if the end is not known to be kept
+        :raises StoreError: if it is unknown whether the end is stored
         """
         owned = self.owned.get(lot_id)
         if owned is not None:
             had_ended = owned.stored.head.ended
-            stored = self._end_kept(owned.stored)
-            self._ended(owned, stored)
-            if owned.others and not had_ended:
-                self.tell_end(stored)
+            stored = self._store_end(owned.stored)
+            self._stop_work(owned, stored)
+            if owned.had_other_owner and not had_ended:
+                self.notify_end(stored)
             return True
-        stored = self.journal.head(lot_id)
+        stored = self.journal.read_head(lot_id)
         if stored is None:
             return False
-        ended = self._end_kept(stored)
-        self.apply_end(ended)  # it may have been taken over here meanwhile
-        if ended.revision != stored.revision:  # else it had ended before, and that was told
-            self.tell_end(ended)
+        ended = self._store_end(stored)
+        self.apply_end(ended)  # this gateway may have taken it over meanwhile
+        if ended.revision != stored.revision:  # else it had ended, and others were notified then
+            self.notify_end(ended)
         return True
 
     def apply_end(self, stored: StoredHead) -> bool:
-        """Stop working on a lot whose end is kept; false if it does not run here.
+        """Stop work on a lot whose end is stored; false if the lot does not run here.
 
-        One that is being taken over now was read before its end: it is ended once it is.
+        The end is remembered for a lot that is being taken over now and was read before its end;
+        the takeover then ends it.
         """
-        self.ends.note(stored)
+        self.recent_ends.add(stored)
         owned = self.owned.get(stored.lot_id)
         if owned is None:
             return False
         if not owned.book.ended:
-            self._ended(owned, stored)
+            self._stop_work(owned, stored)
         return True
 
     def release(self, owned: OwnedLot) -> None:
-        """Stop working on a lot that somebody else owns now."""
+        """Stop work on a lot that another gateway owns now."""
         self.owned.remove(owned.lot_id)
         self.drop(owned, True)
 
-    def adopt(self, whole: StoredLot) -> None:
-        """Take over a lot that its owner gives away."""
+    def adopt(self, stored_lot: StoredLot) -> None:
+        """Take over a lot that its previous owner transferred to this gateway."""
         me = self.peers.member
-        head = whole.stored.head
+        head = stored_lot.stored.head
         if (head.owner, head.incarnation) == (me.name, me.incarnation):
-            self._add(whole, "a gateway that stops", False, {})  # it has let go of the lot
+            self._resume(
+                stored_lot, "a gateway that stops", False, {}
+            )  # that gateway has released it
 
     def take_over(self, stored: StoredHead) -> None:
-        """Take over a lot that lies idle, from what the store has of it.
+        """Take over an orphaned lot, from what the store has of it.
 
-        :raises NotOwnerError: if somebody else took it over meanwhile
-        :raises LotMissingError: if the store has no such lot any more
-        :raises StoreError: if the change of owner is not known to be kept
+        :raises NotOwnerError: if another gateway has taken it over meanwhile
+        :raises LotMissingError: if the store no longer has the lot
+        :raises StoreError: if it is unknown whether the change of owner is stored
         """
         if self.owned.get(stored.lot_id) is not None or self.leaving:
             return
         me = self.peers.member
         before = stored.head.owner
         if (stored.head.owner, stored.head.incarnation) != (me.name, me.incarnation):
-            stored = self.journal.change(stored, owner=me.name, incarnation=me.incarnation)
-        texts = self.checkpoints.load(stored.lot_id)
-        self._add(self.journal.whole(stored), before, before != me.name, texts)
+            stored = self.journal.update(stored, owner=me.name, incarnation=me.incarnation)
+        partial_texts = self.checkpoints.load(stored.lot_id)
+        self._resume(self.journal.load_from_head(stored), before, before != me.name, partial_texts)
 
     def hand_over(self) -> None:
-        """Give all open lots to other gateways; for a planned stop, until all are given."""
+        """Transfer all open lots to other gateways; returns once all are transferred.
+
+        Used for a planned stop.
+        """
         self.leaving = True
-        deaf: set[str] = set()
+        unresponsive: set[str] = set()
         while open_lots := self.owned.open():
-            others = {one.name: one for one in self.peers.gateways() if one.name not in deaf}
-            for owned in open_lots if others else ():
-                heir = rendezvous(owned.lot_id, sorted(others))[0]
-                if not self._give_to(owned, others[heir]):
-                    deaf.add(heir)
-            self.stopped.wait(HAND_OVER_PAUSE_S)
+            targets = {
+                one.name: one for one in self.peers.gateways() if one.name not in unresponsive
+            }
+            for owned in open_lots if targets else ():
+                successor = rendezvous(owned.lot_id, sorted(targets))[0]
+                if not self._transfer_to(owned, targets[successor]):
+                    unresponsive.add(successor)
+            self.stopped.wait(HAND_OVER_RETRY_S)
 
     def _new_head(self, lot: Lot, route: Route) -> LotHead:
-        """Return the head of a lot that is handed in here now."""
+        """Return the head of a lot that is submitted here now."""
         return LotHead(
             owner=self.peers.member.name,
             incarnation=self.peers.member.incarnation,
@@ -181,35 +190,38 @@
             rank=route.priority,
         )
 
-    def _give_to(self, owned: OwnedLot, heir: Member) -> bool:
-        """Make another gateway the owner of a lot, in the store first; false if it does not answer.
+    def _transfer_to(self, owned: OwnedLot, successor: Member) -> bool:
+        """Make another gateway the owner of a lot; false if that gateway does not answer.
 
-        Then the lot stays here for the next try: its owner by the store might not look for it.
+        The store is written first. Without an answer the lot also stays here for the next attempt:
+        the owner that the store names might not look for it.
         """
         try:
             with self.owned.lock:
                 stored = owned.stored
-            stored = self.journal.change(stored, owner=heir.name, incarnation=heir.incarnation)
+            stored = self.journal.update(
+                stored, owner=successor.name, incarnation=successor.incarnation
+            )
         except (StoreError, NotOwnerError, LotMissingError) as error:
             log_state("hand_over_failed", lot=owned.lot_id, error=str(error))
             return True
-        whole = StoredLot(stored, owned.book.lot, tuple(owned.book.listed))
-        ask = Adopt(*self.peers.myself, whole)
-        if self.peers.ask(heir.address, ask, HAND_OVER_TIMEOUT_S) is None:
-            log_state("heir_silent", lot=owned.lot_id, to=heir.name)
+        stored_lot = StoredLot(stored, owned.book.lot, tuple(owned.book.listed))
+        ask = Adopt(*self.peers.myself, stored_lot)
+        if self.peers.ask(successor.address, ask, HAND_OVER_TIMEOUT_S) is None:
+            log_state("successor_unresponsive", lot=owned.lot_id, to=successor.name)
             with self.owned.lock:
                 owned.stored = stored
             return False
         self.release(owned)
-        log_state("handed_over", lot=owned.lot_id, to=heir.name)
+        log_state("lot_handed_over", lot=owned.lot_id, to=successor.name)
         return True
 
-    def _begin(self, lot: Lot, stored: StoredHead) -> None:
-        """Start on a lot that has just been kept."""
-        rules = rules_of(stored.head, self.clock.now())
+    def _start(self, lot: Lot, stored: StoredHead) -> None:
+        """Start work on a lot that has just been stored."""
+        rules = rules_for(stored.head, self.clock.now())
         book = LotBook(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
         owned = OwnedLot(book, stored)
-        reused = self.texts.use(owned.book)
+        reused = self.partial_texts.apply_to(owned.book)
         self.owned.add(owned)
         log_state(
             "lot_taken",
@@ -223,80 +235,89 @@
             reused=reused,
         )
 
-    def _end_kept(self, stored: StoredHead) -> StoredHead:
-        """Write the end, over any change that another owner makes meanwhile."""
-        for _ in range(END_TRIES):
+    def _store_end(self, stored: StoredHead) -> StoredHead:
+        """Write the end, retrying while another owner changes the head."""
+        for _ in range(MAX_END_ATTEMPTS):
             if stored.head.ended:
                 return stored
             try:
-                return self.journal.change(stored, ended=True)
+                return self.journal.update(stored, ended=True)
             except NotOwnerError:
-                found = self.journal.head(stored.lot_id)
+                found = self.journal.read_head(stored.lot_id)
                 if found is None:
                     raise LotMissingError(stored.lot_id) from None
                 stored = found
-        raise StoreError(f"the head of {stored.lot_id} changed at each of {END_TRIES} tries")
+        raise StoreError(
+            f"the head of {stored.lot_id} changed at each of {MAX_END_ATTEMPTS} attempts to end it"
+        )
 
-    def _ended(self, owned: OwnedLot, stored: StoredHead) -> None:
-        """Stop working on a lot whose end is kept."""
+    def _stop_work(self, owned: OwnedLot, stored: StoredHead) -> None:
+        """Stop work on a lot whose end is stored."""
         with self.owned.lock:
             owned.stored = stored
-            self.texts.keep(owned.book)
+            self.partial_texts.add(owned.book)
             running = owned.book.end()
             listed = len(owned.book.listed)
-            self.owned.tell_listed()
+            self.owned.notify_readers()
         log_state("lot_ended", lot=owned.lot_id, listed=listed, running=len(running))
         self.drop(owned, True)
         self.checkpoints.forget(owned.lot_id)
 
-    def _add(self, whole: StoredLot, of: str, others: bool, texts: dict[str, SavedText]) -> None:
-        """Start on a lot that was taken over.
+    def _resume(
+        self,
+        stored_lot: StoredLot,
+        previous_owner: str,
+        had_other_owner: bool,
+        partial_texts: dict[str, SavedText],
+    ) -> None:
+        """Start work on a lot that was taken over.
 
-        :param of: whose it was
-        :param others: whether another box may believe that it still is
+        :param previous_owner: name of the previous owner, for the log
+        :param had_other_owner: whether another box may still consider itself the owner
         """
-        stored = whole.stored
-        lengths = self._lengths_of(whole.lot)
-        rules = self._rules_again(stored)
-        book = LotBook(whole.lot, rules, whole.results, lengths, self.listing)
+        stored = stored_lot.stored
+        lengths = self._lengths_of(stored_lot.lot)
+        rules = self._rules_after_takeover(stored)
+        book = LotBook(stored_lot.lot, rules, stored_lot.results, lengths, self.listing)
         reused = [
             name
-            for name, text in texts.items()
+            for name, text in partial_texts.items()
             if book.prefill(name, text.events, text.versions, text.lineage)
         ]
-        if not self.owned.add(OwnedLot(book, stored, others=others)):
+        if not self.owned.add(OwnedLot(book, stored, had_other_owner=had_other_owner)):
             return
         log_state(
             "lot_adopted",
             lot=stored.lot_id,
-            of=of,
-            listed=len(whole.results),
-            samples=len(whole.lot.samples),
+            previous_owner=previous_owner,
+            listed=len(stored_lot.results),
+            samples=len(stored_lot.lot.samples),
             revision=stored.revision,
-            texts=len(reused),
+            partial_texts=len(reused),
         )
-        end = self.ends.of(stored.lot_id)
+        end = self.recent_ends.get(stored.lot_id)
         if end is not None:
             self.apply_end(end)
 
     def _lengths_of(self, lot: Lot) -> Lengths:
-        """Return what was learned of the lengths of a model's samples."""
+        """Return the learned sample lengths of a lot's model."""
         return self.lengths.setdefault(lot.model, Lengths())
 
-    def _rules_again(self, stored: StoredHead) -> LotRules:
-        """Return the rules of a lot that was handed in some time ago, perhaps at another box.
+    def _rules_after_takeover(self, stored: StoredHead) -> LotRules:
+        """Return the rules of a lot that was submitted some time ago, perhaps at another box.
 
-        No sample may be given up early: where that box's clock is behind, the lot seems older.
+        No sample may be given up early. If the clock of that box is behind, the lot looks older
+        than it is, so the largest clock skew is added to the time of giving up.
         """
         age = max(0.0, self.clock.time_of_day() - stored.head.submitted_at)
-        rules = rules_of(stored.head, self.clock.now() - age)
-        return replace(rules, give_up_at=rules.give_up_at + CLOCK_SKEW_S)
+        rules = rules_for(stored.head, self.clock.now() - age)
+        return replace(rules, give_up_at=rules.give_up_at + MAX_CLOCK_SKEW_S)
 
 
-def rules_of(head: LotHead, start: float) -> LotRules:
-    """Return what a lot's head asks for.
+def rules_for(head: LotHead, start: float) -> LotRules:
+    """Return the rules that a lot's head asks for.
 
-    :param start: time at which the lot was handed in, by this process's clock
+    :param start: time of submission, by this process's clock
     """
     return LotRules(
         max_attempts=head.max_attempts,
@@ -306,4 +327,4 @@
     )
 
 
-__all__ = ["LotOwner", "rules_of"]
+__all__ = ["LotOwner", "rules_for"]
--- a/src/threadramp/lots/partial_texts.py
+++ b/src/threadramp/lots/partial_texts.py
@@ -1,4 +1,4 @@
-"""Text of samples whose lot ended before they were whole, for a later lot that names them again."""
+"""Keeps the text of samples unfinished at the end of their lot, for reuse by a later lot."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 if TYPE_CHECKING:
     from threadramp.core.lot_book import LotBook
 
-KEPT_TEXTS = 400  # samples of ended lots whose text may serve a later lot
+MAX_TEXTS = 400  # samples of ended lots whose text is kept
 
 
 class PartialTexts:
-    """Texts by sample, the oldest forgotten first."""
+    """Partial texts by sample; the oldest are dropped first."""
 
     def __init__(self) -> None:
         self.texts: dict[str, tuple[list[str], list[int], str]] = {}
 
-    def keep(self, book: LotBook) -> None:
-        """Keep the text of a lot's samples that have no result."""
+    def add(self, book: LotBook) -> None:
+        """Add the text of a lot's samples that have no result."""
         for name, state in book.states.items():
             if state.is_open and state.events:
                 self.texts.pop(name, None)
                 self.texts[name] = (state.events, state.versions, state.lineage)
-        for name in list(self.texts)[: max(0, len(self.texts) - KEPT_TEXTS)]:
+        for name in list(self.texts)[: max(0, len(self.texts) - MAX_TEXTS)]:
             del self.texts[name]
 
-    def use(self, book: LotBook) -> list[str]:
-        """Give a new lot's samples the text that is kept; returns those that it fits."""
+    def apply_to(self, book: LotBook) -> list[str]:
+        """Fill a new lot's samples with matching texts; returns the samples that were filled."""
         used = []
         for name in book.states:
             text = self.texts.pop(name, None)
--- a/src/threadramp/lots/reading.py
+++ b/src/threadramp/lots/reading.py
@@ -1,4 +1,4 @@
-"""Answers trainers' calls about lots at any gateway, and other gateways' calls about lots here."""
+"""Answers trainers' calls about lots at any gateway, and other gateways' calls about owned lots."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     from threadramp.lots.owner import LotOwner
     from threadramp.wire.fleet import ReadBody, ReadLot
 
-LOOKED_MOST = 64  # lots whose last look is remembered
-LOOK_S = 0.8  # a position that was told anywhere is told by all within a second
+MAX_HEAD_CHECKS = 64  # lots whose last ownership check is remembered
+OWNERSHIP_CHECK_S = 0.8  # a result returned by one gateway is returned by all within a second
 
 
 class LotReader:
@@ -36,14 +36,14 @@
         self.peers = peers
         self.clock = clock
         self.remote_lots = RemoteLots(journal, peers, owned)
-        self.looked: OrderedDict[str, tuple[float, int]] = OrderedDict()
+        self.head_checks: OrderedDict[str, tuple[float, int]] = OrderedDict()
         self.lock = threading.Lock()
 
     def results(self, lot_id: str, after: int, wait_s: float) -> Page:
         """Return results from a position on.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if nobody who is sure could be reached
+        :raises StoreError: if neither a confirmed owner nor the store could be reached
         """
         page = self._own_page(lot_id, after, wait_s)
         return page if page is not None else self.remote_lots.page(lot_id, after, wait_s)
@@ -52,7 +52,7 @@
         """Return the body of a sample, none if there is no such sample.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if nobody who is sure could be reached
+        :raises StoreError: if neither the owner nor the store could be reached
         """
         owned = self.owned.get(lot_id)
         if owned is not None:
@@ -64,7 +64,7 @@
         """End a lot.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if the end is not known to be kept
+        :raises StoreError: if it is unknown whether the end is stored
         """
         if self.owned.get(lot_id) is None and self.remote_lots.end(lot_id):
             return
@@ -72,18 +72,18 @@
             raise LotUnknownError(lot_id)
 
     def page_for_peer(self, ask: ReadLot) -> LotPage:
-        """Answer another gateway that reads a lot of ours."""
+        """Answer another gateway that reads an owned lot."""
         try:
             page = self._own_page(ask.lot, ask.after, ask.wait_s)
         except (LotUnknownError, StoreError) as error:
-            log_state("not_sure_of_lot", lot=ask.lot, asker=ask.sender, error=str(error))
+            log_state("lot_ownership_unconfirmed", lot=ask.lot, asker=ask.sender, error=str(error))
             page = None
         if page is None:
             return LotPage(0, False, ())
         return LotPage(page.total, page.ended, page.results, True)
 
     def body_for_peer(self, ask: ReadBody) -> SampleBody:
-        """Answer another gateway that wants a body of a lot of ours."""
+        """Answer another gateway that reads a sample's body of an owned lot."""
         owned = self.owned.get(ask.lot)
         if owned is None:
             return SampleBody(False, None)
@@ -91,51 +91,58 @@
         return SampleBody(True, state.sample.body if state is not None else None)
 
     def _own_page(self, lot_id: str, after: int, wait_s: float) -> Page | None:
-        """Return results of a lot of ours, none if it is not ours, or not any more."""
+        """Return results of an owned lot, none if this gateway does not own it (any more)."""
         until = self.clock.now() + wait_s
         page = self.owned.page(lot_id, after, lambda: until - self.clock.now())
-        if page is None or page.results or after >= page.total or self._is_sure(lot_id):
+        if page is None or page.results or after >= page.total or self._owned_lately(lot_id):
             return page
-        stored = self._head_if_listed(lot_id, after)
+        stored = self._head_if_listed_beyond(lot_id, after)
         if stored is None:
             return page
         if (stored.head.owner, stored.head.incarnation) != self._myself():
-            self._let_go(lot_id, stored)
+            self._release(lot_id, stored)
             return None
         return self.owned.page(lot_id, after, lambda: 0.0)
 
-    def _is_sure(self, lot_id: str) -> bool:
-        """Return whether a write of ours lately showed that a lot is ours."""
+    def _owned_lately(self, lot_id: str) -> bool:
+        """Return whether a recent write confirmed that this gateway owns a lot."""
         owned = self.owned.get(lot_id)
-        return owned is not None and self.clock.now() - owned.ownership_confirmed_at < LOOK_S
+        return (
+            owned is not None
+            and self.clock.now() - owned.ownership_confirmed_at < OWNERSHIP_CHECK_S
+        )
 
-    def _head_if_listed(self, lot_id: str, after: int) -> StoredHead | None:
-        """Return a lot's head if the store has a result at a position, looked up now and then.
+    def _head_if_listed_beyond(self, lot_id: str, after: int) -> StoredHead | None:
+        """Return a lot's head if the store has a result at a position.
 
-        Whoever answers that nothing stands there must be sure: the owner may have changed without
-        its knowledge, and the position may have been told elsewhere.
+        A gateway may answer that there is no result at a position only if its ownership is
+        confirmed: another gateway may have taken the lot over without its knowledge and have
+        answered readers with a result at that position. The store is read at most once per
+        ``OWNERSHIP_CHECK_S``, since reads are billed.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
         now = self.clock.now()
-        looked_at, listed = self.looked.get(lot_id, (0.0, -1))
-        if now - looked_at < LOOK_S and listed <= after:
+        checked_at, listed = self.head_checks.get(lot_id, (0.0, -1))
+        if now - checked_at < OWNERSHIP_CHECK_S and listed <= after:
             return None
-        stored = self.journal.head(lot_id)
+        stored = self.journal.read_head(lot_id)
         if stored is None:
             raise LotUnknownError(lot_id)
         with self.lock:
-            self.looked.pop(lot_id, None)
-            self.looked[lot_id] = (now, stored.head.listed)
-            while len(self.looked) > LOOKED_MOST:
-                self.looked.popitem(last=False)
+            self.head_checks.pop(lot_id, None)
+            self.head_checks[lot_id] = (now, stored.head.listed)
+            while len(self.head_checks) > MAX_HEAD_CHECKS:
+                self.head_checks.popitem(last=False)
         return stored if stored.head.listed > after else None
 
-    def _let_go(self, lot_id: str, stored: StoredHead) -> None:
+    def _release(self, lot_id: str, stored: StoredHead) -> None:
         owned = self.owned.get(lot_id)
         if owned is not None:
-            log_state("lot_changed_hands", lot=lot_id, owner=stored.head.owner, seen="by a reader")
+            log_state(
+                "lot_owner_changed", lot=lot_id, owner=stored.head.owner, seen="while reading"
+            )
             self.owner.release(owned)
 
     def _myself(self) -> tuple[str, str]:
--- a/src/threadramp/lots/recent_ends.py
+++ b/src/threadramp/lots/recent_ends.py
@@ -1,4 +1,4 @@
-"""The ends of lots that this process wrote or heard of lately."""
+"""The ends of lots that this process wrote or was notified of recently."""
 
 from __future__ import annotations
 
@@ -9,28 +9,27 @@
 if TYPE_CHECKING:
     from threadramp.lots.model import StoredHead
 
-ENDS_MOST = (
-    256  # a lot each 4 s and trainer: with 9 trainers two minutes; taking over takes seconds
-)
+# At one lot per trainer every 4 s and 9 trainers this covers two minutes; a takeover takes seconds.
+MAX_ENDS = 256
 
 
 class RecentEnds:
-    """Remembers ends; a lot that is being taken over is not among the owned ones yet."""
+    """Remembers ends, for lots that are being taken over and are not among the owned ones yet."""
 
     def __init__(self) -> None:
         self.heads: OrderedDict[str, StoredHead] = OrderedDict()
         self.lock = threading.Lock()
 
-    def note(self, stored: StoredHead) -> None:
-        """Take note of the head of a lot whose end is kept."""
+    def add(self, stored: StoredHead) -> None:
+        """Add the head of a lot whose end is stored."""
         with self.lock:
             self.heads[stored.lot_id] = stored
             self.heads.move_to_end(stored.lot_id)
-            if len(self.heads) > ENDS_MOST:
+            if len(self.heads) > MAX_ENDS:
                 self.heads.popitem(last=False)
 
-    def of(self, lot_id: str) -> StoredHead | None:
-        """Return the head with which a lot ended, none if that is not known here."""
+    def get(self, lot_id: str) -> StoredHead | None:
+        """Return the head with which a lot ended, none if no end is known here."""
         with self.lock:
             return self.heads.get(lot_id)
 
--- a/src/threadramp/lots/remote_lots.py
+++ b/src/threadramp/lots/remote_lots.py
@@ -1,4 +1,4 @@
-"""Reads and ends lots of other gateways: from memory, through the owner, else from the store."""
+"""Reads and ends lots of other gateways: from the cache, through the owner, else from the store."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     from threadramp.lots.owned import OwnedLots
     from threadramp.wire.fleet import FindLot, LotFound
 
-OWNER_TIMEOUT_S = 0.8  # beyond the time for which the reader lets us wait
-CACHED_LOTS = 64
+OWNER_MARGIN_S = 0.8  # added to the time that the reader is willing to wait
+MAX_CACHED_LOTS = 64
 END_TIMEOUT_S = 3.0
 
 
 class LotUnknownError(Exception):
-    """The store itself says that there is no such lot."""
+    """The store itself has no such lot."""
 
 
 @dataclass
 class CachedLot:
-    """What was read of a lot that another gateway owns; positions never change.
+    """What was read of a lot that another gateway owns; results at a position never change.
 
-    :param lot: what was handed in, none while nobody asked for it
+    :param lot: the lot as submitted, none until it was needed
     """
 
     stored: StoredHead
@@ -42,13 +42,13 @@
 
 
 class RemoteLots:
-    """The lots that other gateways own, as this one sees them."""
+    """Reads and ends the lots that other gateways own."""
 
     def __init__(self, journal: LotJournal, peers: Peers, owned: OwnedLots) -> None:
         self.journal = journal
         self.peers = peers
         self.owned = owned
-        self.finder = HeadLookup(journal, peers, self._known)
+        self.head_lookup = HeadLookup(journal, peers, self._known_head)
         self.cache: OrderedDict[str, CachedLot] = OrderedDict()
         self.lock = threading.Lock()
 
@@ -56,9 +56,9 @@
         """Return results from a position on.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if nobody who is sure could be reached
+        :raises StoreError: if neither a confirmed owner nor the store could be reached
         """
-        cached = self._cached(lot_id)
+        cached = self._cached_lot(lot_id)
         if after < len(cached.results):
             return Page(cached.stored.head.total, False, first_page(cached.results[after:]))
         page = self._from_owner(cached, after, wait_s)
@@ -68,24 +68,24 @@
         """Return the body of a sample, none if there is no such sample.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if nobody who is sure could be reached
+        :raises StoreError: if neither the owner nor the store could be reached
         """
-        cached = self._cached(lot_id)
+        cached = self._cached_lot(lot_id)
         if cached.lot is None:
             found = self._body_from_owner(cached, sample)
             if found is not None and found.owned:
                 return found.body
-            cached.lot = self.journal.hand_in(cached.stored)
+            cached.lot = self.journal.read_lot(cached.stored)
         bodies = {one.id: one.body for one in cached.lot.samples}
         return bodies.get(sample)
 
     def end(self, lot_id: str) -> bool:
-        """Let the owner end a lot; true if it says that the end is kept.
+        """Ask the owner to end a lot; true if it confirms that the end is stored.
 
         :raises LotUnknownError: if there is no such lot
-        :raises StoreError: if the store does not tell whose it is
+        :raises StoreError: if the owner can't be read from the store
         """
-        member = self._owner(self._cached(lot_id))
+        member = self._live_owner(self._cached_lot(lot_id))
         if member is None:
             return False
         ask = EndLot(*self.peers.myself, lot_id)
@@ -93,54 +93,54 @@
         return isinstance(reply, LotEnded) and reply.kept
 
     def find_for_peer(self, ask: FindLot) -> LotFound:
-        """Answer a gateway of this data centre that looks for a lot, and keep what was read.
+        """Answer a head lookup of a gateway in this data centre, and cache what was read.
 
-        :raises StoreError: if no answer came
+        :raises StoreError: if the store did not answer
         """
-        found = self.finder.find_for_peer(ask)
+        found = self.head_lookup.find_for_peer(ask)
         if found.kept is not None and self.owned.get(ask.lot) is None:
             with self.lock:
-                self._keep(ask.lot, found.kept)
+                self._cache_head(ask.lot, found.kept)
         return found
 
-    def _known(self, lot_id: str) -> StoredHead | None:
+    def _known_head(self, lot_id: str) -> StoredHead | None:
         owned = self.owned.get(lot_id)
         if owned is not None:
             return owned.stored
         cached = self.cache.get(lot_id)
         return None if cached is None else cached.stored
 
-    def _keep(self, lot_id: str, stored: StoredHead) -> CachedLot:
-        """Keep a head, the one that was kept first if there is one; the lock is held."""
+    def _cache_head(self, lot_id: str, stored: StoredHead) -> CachedLot:
+        """Cache a head unless one is cached already; the caller holds the lock."""
         cached = self.cache.setdefault(lot_id, CachedLot(stored))
-        while len(self.cache) > CACHED_LOTS:
+        while len(self.cache) > MAX_CACHED_LOTS:
             self.cache.popitem(last=False)
         return cached
 
-    def _cached(self, lot_id: str) -> CachedLot:
+    def _cached_lot(self, lot_id: str) -> CachedLot:
         with self.lock:
             cached = self.cache.get(lot_id)
             if cached is not None:
                 self.cache.move_to_end(lot_id)
                 return cached
-        stored = self.finder.head(lot_id)
+        stored = self.head_lookup.read_head(lot_id)
         if stored is None:
             raise LotUnknownError(lot_id)
         with self.lock:
-            return self._keep(lot_id, stored)
+            return self._cache_head(lot_id, stored)
 
-    def _owner(self, cached: CachedLot) -> Member | None:
+    def _live_owner(self, cached: CachedLot) -> Member | None:
         member = self.peers.picture.belief.members.get(cached.stored.head.owner)
         if member is None or member.incarnation != cached.stored.head.incarnation:
             return None
         return None if member.name == self.peers.member.name else member
 
     def _from_owner(self, cached: CachedLot, after: int, wait_s: float) -> Page | None:
-        member = self._owner(cached)
+        member = self._live_owner(cached)
         if member is None:
             return None
         ask = ReadLot(*self.peers.myself, cached.stored.lot_id, after, wait_s)
-        reply = self.peers.ask(member.address, ask, wait_s + OWNER_TIMEOUT_S)
+        reply = self.peers.ask(member.address, ask, wait_s + OWNER_MARGIN_S)
         if not isinstance(reply, LotPage) or not reply.total:
             return None
         if not reply.sure and not reply.results and after < reply.total:
@@ -151,20 +151,20 @@
         return Page(reply.total, reply.ended, reply.results)
 
     def _body_from_owner(self, cached: CachedLot, sample: str) -> SampleBody | None:
-        member = self._owner(cached)
+        member = self._live_owner(cached)
         if member is None:
             return None
         ask = ReadBody(*self.peers.myself, cached.stored.lot_id, sample)
-        reply = self.peers.ask(member.address, ask, OWNER_TIMEOUT_S)
+        reply = self.peers.ask(member.address, ask, OWNER_MARGIN_S)
         return reply if isinstance(reply, SampleBody) else None
 
     def _from_store(self, cached: CachedLot, after: int) -> Page:
-        """Read from the store what neither memory nor the owner gave."""
-        stored = self.journal.head(cached.stored.lot_id)
+        """Read from the store what neither the cache nor the owner had."""
+        stored = self.journal.read_head(cached.stored.lot_id)
         if stored is None:
             raise LotUnknownError(cached.stored.lot_id)
         if stored.head.listed > after:
-            results = self.journal.results(stored, 0)
+            results = self.journal.read_results(stored, 0)
             with self.lock:
                 if len(results) > len(cached.results):
                     cached.results = list(results)
--- a/src/threadramp/lots/retried_writes.py
+++ b/src/threadramp/lots/retried_writes.py
@@ -1,7 +1,7 @@
-"""Sends a write to the store again while its answer does not come and there is time for it.
+"""Retries writes to the store that were not answered, while there is time left.
 
-A write whose answer was lost is sent again as it was; if the head then names its nonce, it had
-taken effect.
+An unanswered write is retried unchanged. If the head then contains its nonce, the first attempt had
+been committed.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
     from threadramp.platform.store import StoreClient
     from threadramp.platform.store_model import Conflict, Transaction
 
-RETRY_FOR_S = 2.0  # for so long a write without an answer is sent again; a trainer waits for it
-PAUSE_S = 0.05  # before a write is sent again; doubles with each further time
-PAUSE_MOST_S = 0.4  # the store's outages take seconds
+RETRY_FOR_S = 2.0  # how long an unanswered write is retried; a trainer waits for it
+FIRST_PAUSE_S = 0.05  # before the first retry; doubles with each further one
+MAX_PAUSE_S = 0.4  # outages of the store last seconds
 
 
 class RetriedWrites:
-    """The writes of one change to a lot, which share the time for them.
+    """The writes of one change to a lot, which share a deadline.
 
-    :param patience_s: for so long they may be sent again
-    :param waits: whether they are also sent again after the store said that it did nothing
+    :param retry_for_s: how long they may be retried
+    :param retry_refused: whether to retry also after the store refused a write
     """
 
-    def __init__(self, store: StoreClient, patience_s: float, waits: bool) -> None:
+    def __init__(self, store: StoreClient, retry_for_s: float, retry_refused: bool) -> None:
         self.store = store
-        self.until = steady_s() + patience_s
-        self.waits = waits
+        self.deadline = steady_s() + retry_for_s
+        self.retry_refused = retry_refused
         self.unanswered = 0
-        self.next_pause_s = PAUSE_S
+        self.next_pause_s = FIRST_PAUSE_S
 
-    def settle(self, key: str, transaction: Transaction, nonce: str) -> Committed | Conflict:
-        """Write under a condition until it is known whether the write took effect.
+    def commit(self, key: str, transaction: Transaction, nonce: str) -> Committed | Conflict:
+        """Write conditionally until the outcome is known.
 
         :param key: of the head that the write changes
-        :param nonce: that the head names once the write took effect
+        :param nonce: contained in the head once the write is committed
         :raises StoreRefusedError: if it was not done
-        :raises StoreUnknownError: if it may have been done, or may still be
+        :raises StoreUnknownError: if it may have been done, or may still be done
         """
         self.unanswered = 0
         answer = self.send(transaction)
@@ -51,42 +51,43 @@
             return answer
         current = answer.current.get(key)
         if current is not None and decode_head(current.value).nonce == nonce:
-            log_state("write_settled", key=key, revision=current.revision)
+            log_state("write_confirmed", key=key, revision=current.revision)
             return Committed(current.revision)
         return answer
 
     def send(self, transaction: Transaction) -> Committed | Conflict:
-        """Send a write until it is answered or the time is up.
+        """Send a write until it is answered or the deadline is reached.
 
         :raises StoreRefusedError: if it was not done
-        :raises StoreUnknownError: if it may have been done, or may still be
+        :raises StoreUnknownError: if it may have been done, or may still be done
         """
         while True:
             try:
                 return self.store.transact(transaction, repeatable=True)
             except StoreError as error:
-                self._note(error)
-                if not self._may_go_on(error):
+                self._record_failure(error)
+                if not self._may_retry(error):
                     if self.unanswered and not isinstance(error, StoreUnknownError):
-                        raise StoreUnknownError(str(error)) from error  # an earlier try may count
+                        # An earlier, unanswered attempt may have been committed.
+                        raise StoreUnknownError(str(error)) from error
                     raise
             self._pause()
 
-    def _note(self, error: StoreError) -> None:
-        """Count a try that brought no answer."""
+    def _record_failure(self, error: StoreError) -> None:
+        """Count and log a failed attempt."""
         unanswered = isinstance(error, StoreUnknownError)
         self.unanswered += unanswered
         log_state("write_failed", unanswered=unanswered, error=str(error))
 
-    def _may_go_on(self, error: StoreError) -> bool:
-        """Return whether there is time for another try."""
-        again = self.waits or isinstance(error, StoreUnknownError)
-        return again and steady_s() + self.next_pause_s < self.until
+    def _may_retry(self, error: StoreError) -> bool:
+        """Return whether there is time for another attempt."""
+        retryable = self.retry_refused or isinstance(error, StoreUnknownError)
+        return retryable and steady_s() + self.next_pause_s < self.deadline
 
     def _pause(self) -> None:
-        """Wait before the next try, longer each time."""
+        """Wait before the next attempt, longer each time."""
         time.sleep(self.next_pause_s)
-        self.next_pause_s = min(PAUSE_MOST_S, 2 * self.next_pause_s)
+        self.next_pause_s = min(MAX_PAUSE_S, 2 * self.next_pause_s)
 
 
 __all__ = ["RETRY_FOR_S", "RetriedWrites"]
--- a/src/threadramp/lots/runner_updates.py
+++ b/src/threadramp/lots/runner_updates.py
@@ -1,4 +1,4 @@
-"""Puts into the books of lots what sidecars say about their samples."""
+"""Applies what sidecars report about samples to the books of the lots."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 
 
 class RunnerUpdates:
-    """Notes what sidecars answer, and that one is lost.
+    """Records what sidecars answer, and the loss of a sidecar.
 
-    :param on_scoring: called with a lot and a sample whose text is whole
-    :param samples: is told how runs ended
+    :param on_text_complete: called with a lot and a sample whose text is complete
+    :param crash_guard: records how runs ended
     """
 
     def __init__(
         self,
         owned: OwnedLots,
         clock: Clock,
-        on_scoring: Callable[[OwnedLot, str], None],
-        samples: SampleCrashGuard,
+        on_text_complete: Callable[[OwnedLot, str], None],
+        crash_guard: SampleCrashGuard,
     ) -> None:
-        self.samples = samples
+        self.crash_guard = crash_guard
         self.owned = owned
         self.clock = clock
-        self.on_scoring = on_scoring
+        self.on_text_complete = on_text_complete
 
-    def heard(self, view: RunnerView, status: RunnerStatus) -> None:
-        """Note that a sidecar answered, and what it says of itself."""
+    def record_status(self, view: RunnerView, status: RunnerStatus) -> None:
+        """Record that a sidecar answered, and the status that it reported."""
         view.status = status
         view.taken = status.taken
         view.heard = self.clock.now()
 
-    def take(self, view: RunnerView, lots: list[OwnedLot], reply: Updates) -> None:
-        """Note the news that a sidecar gave; lots in ``lots`` alone are looked at."""
+    def apply_updates(self, view: RunnerView, lots: list[OwnedLot], reply: Updates) -> None:
+        """Apply the updates that a sidecar sent, for samples of ``lots`` only."""
         now = self.clock.now()
         by_sample = self._lots_by_sample(lots)
         for update in reply.updates:
@@ -52,9 +52,9 @@
             if lot is None:
                 continue
             with self.owned.lock:
-                phase = self._take_one(view, lot, update, now)
+                phase = self._apply_one(view, lot, update, now)
             if phase is Phase.SCORING:
-                self.on_scoring(lot, update.sample)
+                self.on_text_complete(lot, update.sample)
         for sample in reply.unknown:
             lot = by_sample.get(sample)
             if lot is None:
@@ -62,10 +62,10 @@
             with self.owned.lock:
                 lot.book.give_back(sample, view.member.name, now)
         if reply.updates or reply.unknown:
-            self.owned.work.set()
+            self.owned.work_available.set()
 
-    def lose(self, view: RunnerView, lots: list[OwnedLot], reason: str) -> None:
-        """Give back the samples of a sidecar that is counted as lost."""
+    def mark_lost(self, view: RunnerView, lots: list[OwnedLot], reason: str) -> None:
+        """Return the samples of a lost sidecar to the waiting ones."""
         now = self.clock.now()
         view.status = None
         for lot in lots:
@@ -80,26 +80,26 @@
                     samples=lost,
                     silent_s=round(now - view.heard, 2),
                 )
-                self.owned.work.set()
+                self.owned.work_available.set()
 
-    def _take_one(
+    def _apply_one(
         self, view: RunnerView, lot: OwnedLot, update: RunUpdate, now: float
     ) -> Phase | None:
-        """Note the news of one sample; returns its phase if its run ended."""
+        """Apply the update of one sample; returns its phase if its run ended."""
         name = view.member.name
         book = lot.book
         added = book.add_events(
             update.sample, name, update.base, update.events, update.versions, update.lineage
         )
         if not added:
-            if update.sample in book.at_runner(name):  # another gateway had it begun anew there
+            if update.sample in book.at_runner(name):  # another gateway has restarted it there
                 log_state("events_refused", sample=update.sample, sidecar=name, base=update.base)
                 book.give_back(update.sample, name, now)
             return None
         if not update.outcome:
             return None
         outcome = RunOutcome(update.outcome)
-        self.samples.note(lot, update.sample, outcome, update.start)
+        self.crash_guard.record_outcome(lot, update.sample, outcome, update.start)
         phase = book.run_ended(update.sample, name, outcome, now)
         log_state(
             "run_ended",
@@ -113,7 +113,7 @@
         return phase
 
     def _lots_by_sample(self, lots: list[OwnedLot]) -> dict[str, OwnedLot]:
-        """Return the lot of each sample that runs."""
+        """Return the lot of each running sample."""
         with self.owned.lock:
             return {
                 name: lot
--- a/src/threadramp/lots/sample_moves.py
+++ b/src/threadramp/lots/sample_moves.py
@@ -1,4 +1,4 @@
-"""Lets running samples go on at faster engines; ``policy/moves.py`` says which."""
+"""Moves running samples to faster engines; ``policy/moves.py`` selects them."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class SampleMoves:
-    """Takes samples from their sidecars, so that they wait for a faster one.
+    """Takes samples back from their sidecars, so that they wait for a faster one.
 
-    :param drop: tells a sidecar that samples are not wanted there, and takes their last events
+    :param drop: tells a sidecar to drop samples, and collects their last events
     """
 
     def __init__(
@@ -32,8 +32,8 @@
         self.clock = clock
         self.drop = drop
 
-    def turn(self, views: Mapping[str, RunnerView]) -> None:
-        """Take samples from engines where others would be done sooner.
+    def run_once(self, views: Mapping[str, RunnerView]) -> None:
+        """Take back samples that other engines would finish sooner.
 
         :param views: of sidecars, by name
         """
@@ -48,11 +48,11 @@
                 self._move(lot, views[runner], samples)
 
     def _move(self, lot: OwnedLot, view: RunnerView, samples: list[str]) -> None:
-        """Take samples of a lot from a sidecar."""
+        """Take samples of a lot back from a sidecar."""
         name = view.member.name
         with self.owned.lock:
-            have = lot.book.at_runner(name)
-            moved = {sample: have[sample] for sample in samples if sample in have}
+            known_events = lot.book.at_runner(name)
+            moved = {sample: known_events[sample] for sample in samples if sample in known_events}
         if not moved:
             return
         log_state("samples_moved", lot=lot.lot_id, sidecar=name, samples=sorted(moved))
--- a/src/threadramp/lots/scoped_ids.py
+++ b/src/threadramp/lots/scoped_ids.py
@@ -1,8 +1,9 @@
-"""Names of lots and samples as they are kept: those of one organisation never meet another's.
+"""Ids of lots and samples scoped by organisation, so that those of two organisations never collide.
 
-An organisation's lots and samples stand under names that begin with its own. So whoever asks with
-another one's key names another lot, which is not there, at every gateway and after any change of
-owner, and the same ids of two organisations are two lots and share no text.
+The stored id of an organisation's lot or sample begins with a tag of the organisation. A caller
+with another organisation's key therefore names a different lot, which does not exist, at every
+gateway and after any change of owner. Equal ids of two organisations are two lots and share no
+text.
 """
 
 from __future__ import annotations
@@ -10,19 +11,19 @@
 from hashlib import sha256
 from urllib.parse import quote
 
-SEPARATOR = "|"  # quoted in what stands before it, and refused in ids that callers choose
-TAG_MOST = 48  # characters; a key of the store has 200 bytes for the name, an id and a prefix
+SEPARATOR = "|"  # percent-encoded in tags, refused in ids that callers choose
+MAX_TAG_LENGTH = 48  # characters; a key in the store has 200 bytes for tag, id and prefix
 
 
-def scoped_id(organisation: str | None, given: str) -> str:
-    """Return the name under which a lot or a sample is kept.
+def scoped_id(organisation: str | None, original_id: str) -> str:
+    """Return the id under which a lot or a sample is stored.
 
-    :param organisation: whose it is, empty or none if nobody's in particular
-    :param given: the id that the caller chose
+    :param organisation: its owner, empty or None if it has none
+    :param original_id: the id that the caller chose
     """
     if not organisation:
-        return given
-    return f"{_tag(organisation)}{SEPARATOR}{given}"
+        return original_id
+    return f"{_tag(organisation)}{SEPARATOR}{original_id}"
 
 
 def unscoped_id(scoped: str) -> str:
@@ -30,17 +31,17 @@
     return scoped.rpartition(SEPARATOR)[2]
 
 
-def is_valid_id(given: str) -> bool:
-    """Return whether an id that a caller chose can be kept apart from those of others."""
-    return SEPARATOR not in given
+def is_valid_id(original_id: str) -> bool:
+    """Return whether an id that a caller chose can be scoped without ambiguity."""
+    return SEPARATOR not in original_id
 
 
 def _tag(organisation: str) -> str:
-    """Return what stands for an organisation; no two have the same."""
+    """Return a tag for an organisation; no two organisations have the same one."""
     quoted = quote(organisation, safe="")
-    if len(quoted) <= TAG_MOST:
+    if len(quoted) <= MAX_TAG_LENGTH:
         return quoted
-    return "#" + sha256(organisation.encode()).hexdigest()[:32]  # quoting leaves no such sign
+    return "#" + sha256(organisation.encode()).hexdigest()[:32]  # percent-encoding leaves no #
 
 
 __all__ = ["unscoped_id", "is_valid_id", "scoped_id"]
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -1,4 +1,4 @@
-"""Scores samples whose text is whole: one call each, repeated until it has an answer."""
+"""Scores samples whose text is complete: one call each, retried until it is answered."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     from threadramp.lots.model import Reward
     from threadramp.lots.owned import OwnedLot, OwnedLots
 
-# Scoring calls at once. A lot of 200 samples needs two at a time, for calls of 34 ms over 6 s; more
-# in a burst take places from callers and connections that no later burst uses.
-THREADS = 8
-CALL_S = 1.5  # an answer takes 45 ms; a call without one is repeated after this
+# Concurrent scoring calls. A lot of 200 samples needs two, for calls of 34 ms over 6 s. More in a
+# burst take capacity from callers and open connections that no later burst uses.
+CALL_THREADS = 8
+CALL_TIMEOUT_S = 1.5  # an answer takes 45 ms; an unanswered call is retried after this
 RETRY_PAUSE_S = 0.1
-RETRY_MOST_S = 0.8
-HELD_MOST_S = 2.0  # a thread of the pool waits meanwhile
+MAX_RETRY_PAUSE_S = 0.8
+MAX_HOLD_S = 2.0  # occupies a thread of the pool
 
 
 class Scoring:
@@ -40,20 +40,20 @@
         self.picture = picture
         self.forwarder = forwarder
         self.clock = clock
-        self.pool = ThreadPoolExecutor(THREADS, thread_name_prefix="score")
+        self.pool = ThreadPoolExecutor(CALL_THREADS, thread_name_prefix="score")
 
     def begin(self, lot: OwnedLot, sample: str) -> None:
-        """Score a sample of a lot, in the background."""
-        self.pool.submit(self._score_guarded, lot, sample)
+        """Score a sample of a lot in the background."""
+        self.pool.submit(self._score_logged, lot, sample)
 
     def stop(self) -> None:
-        """Take no more work."""
+        """Accept no more work."""
         self.pool.shutdown(wait=False, cancel_futures=True)
 
-    def _score_guarded(self, lot: OwnedLot, sample: str) -> None:
+    def _score_logged(self, lot: OwnedLot, sample: str) -> None:
         try:
             self._score(lot, sample)
-        except Exception as error:  # a thread of the pool would swallow it
+        except Exception as error:  # the thread pool would discard it
             log_state("scoring_failed", lot=lot.lot_id, sample=sample, error=repr(error))
 
     def _score(self, lot: OwnedLot, sample: str) -> None:
@@ -61,11 +61,11 @@
         pause = RETRY_PAUSE_S
         while self._still_wanted(lot, sample):
             outcome, route = self._call(reward)
-            if self._settled(lot, sample, outcome, route):
-                self.owned.work.set()
+            if self._record_outcome(lot, sample, outcome, route):
+                self.owned.work_available.set()
                 return
-            time.sleep(max(pause, _held_s(outcome)))
-            pause = min(RETRY_MOST_S, pause * 2)
+            time.sleep(max(pause, _hold_s(outcome)))
+            pause = min(MAX_RETRY_PAUSE_S, pause * 2)
 
     def _still_wanted(self, lot: OwnedLot, sample: str) -> bool:
         with self.owned.lock:
@@ -84,16 +84,16 @@
             headers=reward_headers(reward.id, reward.host),
             body=reward.body,
             route=route,
-            until=self.clock.now() + CALL_S,
-            repeats_errors=False,  # they are counted, and the sample is given up after a few
+            until=self.clock.now() + CALL_TIMEOUT_S,
+            repeats_errors=False,  # counted here; the sample is given up after a few
             who=ANYBODY if configuration.organisations is None else NOBODY,
         )
         return self.forwarder.run(job), route
 
-    def _settled(
+    def _record_outcome(
         self, lot: OwnedLot, sample: str, outcome: Outcome | None, route: Route | None
     ) -> bool:
-        """Note what came of a call; true if no further one is needed."""
+        """Record the outcome of a call; true if no further one is needed."""
         answer = outcome.answer if outcome is not None else None
         now = self.clock.now()
         if answer is not None and outcome.ending is Ending.ANSWERED:
@@ -103,18 +103,18 @@
                     return lot.book.scored(sample, answer.head.signature, now) or True
             if status == 500:
                 with self.owned.lock:
-                    dead = lot.book.score_failed(sample, now, route.max_attempts)
-                log_state("score_refused", lot=lot.lot_id, sample=sample, given_up=dead)
-                return dead
+                    given_up = lot.book.score_failed(sample, now, route.max_attempts)
+                log_state("score_refused", lot=lot.lot_id, sample=sample, given_up=given_up)
+                return given_up
         ending = outcome.ending.value if outcome is not None else "no route"
-        log_state("score_missing", lot=lot.lot_id, sample=sample, ending=ending)
+        log_state("score_unanswered", lot=lot.lot_id, sample=sample, ending=ending)
         return False
 
 
-def _held_s(outcome: Outcome | None) -> float:
-    """Return for how long a call is put off that was not sent, since endpoints ended under it."""
+def _hold_s(outcome: Outcome | None) -> float:
+    """Return how long to wait if a call was held back because endpoints crashed under it."""
     not_run = outcome is not None and outcome.ending is Ending.NOT_RUN
-    return min(HELD_MOST_S, outcome.retry_after_s) if not_run else 0.0
+    return min(MAX_HOLD_S, outcome.retry_after_s) if not_run else 0.0
 
 
 __all__ = ["Scoring"]
--- a/src/threadramp/lots/urgent_loads.py
+++ b/src/threadramp/lots/urgent_loads.py
@@ -1,4 +1,4 @@
-"""Asks for loads where samples wait that no engine can run; ``policy/hurry.py`` says of whom."""
+"""Requests loads if no engine can run the waiting samples; ``policy/hurry.py`` selects engines."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
     from threadramp.lots.owned import OwnedLots
     from threadramp.policy.sample_placement import RunnerView
 
-AGAIN_S = 0.4  # an engine that was asked shows that it loads within 0.2 s
+REPEAT_INTERVAL_S = 0.4  # an engine that was asked reports loading within 0.2 s
 ASK_TIMEOUT_S = 0.4
 
 
 class UrgentLoads:
-    """Lets sidecars load out of their turn."""
+    """Asks sidecars to load the newest weights before it is their turn."""
 
     def __init__(self, owned: OwnedLots, peers: Peers, clock: Clock) -> None:
         self.owned = owned
         self.peers = peers
         self.clock = clock
-        self.asked_at = 0.0
+        self.requested_at = 0.0
 
-    def turn(self, views: Sequence[RunnerView]) -> None:
-        """Ask some sidecars, unless that was done just now."""
+    def run_once(self, views: Sequence[RunnerView]) -> None:
+        """Ask the selected sidecars, at most once per ``REPEAT_INTERVAL_S``."""
         now = self.clock.now()
-        if now - self.asked_at <= AGAIN_S:
+        if now - self.requested_at <= REPEAT_INTERVAL_S:
             return
         asks = [
             (view.member, HurryLoad(*self.peers.myself, model, view.member.endpoint))
@@ -41,12 +41,12 @@
         ]
         if not asks:
             return
-        self.asked_at = now
-        log_state("loads_hurried", sidecars={one.name: ask.model for one, ask in asks})
+        self.requested_at = now
+        log_state("urgent_loads_requested", sidecars={one.name: ask.model for one, ask in asks})
         self.peers.ask_members(asks, ASK_TIMEOUT_S)
 
     def _waiting(self, now: float) -> list[tuple[str, int]]:
-        """Return model and oldest version allowed of each lot that has samples waiting."""
+        """Return model and oldest allowed version for each lot with waiting samples."""
         with self.owned.lock:
             books = [lot.book for lot in self.owned.open()]
             return [(book.lot.model, book.lot.min_version) for book in books if book.waiting(now)]
--- a/tests/lots/test_checkpoints.py
+++ b/tests/lots/test_checkpoints.py
@@ -1,11 +1,11 @@
-"""The text of long samples, kept while they run."""
+"""Saving the text of long samples while they run."""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.core.test_lot_book import make_book, make_sample, start
-from threadramp.lots.checkpoints import Checkpoints, joined
+from threadramp.lots.checkpoints import Checkpoints, join_records
 from threadramp.lots.model import LotHead, SavedText, StoredHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
 from threadramp.platform.store import StoreClient
@@ -51,7 +51,7 @@
     assert text.lineage == "L1"
 
 
-def test_a_sample_that_began_anew_replaces_what_was_saved(store, lot):
+def test_a_restarted_sample_replaces_what_was_saved(store, lot):
     made = checkpoints(store, lot)
     grow(lot, 40)
     made.save(lot)
@@ -71,7 +71,7 @@
     assert len(first.load("lot")["a"].events) == 60
 
 
-def test_a_record_that_is_lost_is_written_again_whole(store, lot, platform_store):
+def test_a_record_that_was_not_written_is_part_of_the_next_one(store, lot, platform_store):
     made = checkpoints(store, lot)
     grow(lot, 30)
     platform_store.faults["calls_per_s"] = 0.001
@@ -97,6 +97,6 @@
     def record(base: int, count: int) -> SavedText:
         return SavedText("a", base, ("x",) * count, (1,) * count, "L")
 
-    assert [len(text.events) for text in joined([record(0, 3), record(3, 2)])] == [5]
-    assert joined([record(0, 3), record(4, 2)]) == []
-    assert [len(text.events) for text in joined([record(4, 2), record(0, 1)])] == [1]
+    assert [len(text.events) for text in join_records([record(0, 3), record(3, 2)])] == [5]
+    assert join_records([record(0, 3), record(4, 2)]) == []
+    assert [len(text.events) for text in join_records([record(4, 2), record(0, 1)])] == [1]
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -1,4 +1,4 @@
-"""An end that one gateway wrote reaches the gateway that runs the lot."""
+"""An end written by one gateway reaches the gateway that runs the lot."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from threadramp.fleet.peers import Peers
 from threadramp.fleet.picture import Member, Picture
 from threadramp.fleet.store_health import StoreHealth
-from threadramp.lots.audit import LotAudit, lookers_for
-from threadramp.lots.end_notices import TOLD_FOR_S, EndNotices
+from threadramp.lots.audit import LotAudit, scanners_for
+from threadramp.lots.end_notices import NOTICE_TTL_S, EndNotices
 from threadramp.lots.journal import LotJournal
 from threadramp.lots.model import LotHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
@@ -35,7 +35,7 @@
 
 
 class LocalClient:
-    """Carries messages between gateways; some addresses may not answer."""
+    """Delivers messages between gateways; some addresses may not answer."""
 
     def __init__(self) -> None:
         self.answers: dict[str, GatewayAnswers] = {}
@@ -51,14 +51,14 @@
 
 
 class Checkpoints:
-    """Keeps nothing."""
+    """Stores nothing."""
 
     def load(self, lot_id: str) -> dict:
         """Return nothing."""
         return {}
 
     def forget(self, lot_id: str) -> None:
-        """Take note of nothing."""
+        """Do nothing."""
 
 
 class Gateway:
@@ -114,22 +114,22 @@
     other.know("g0")
     other.reader.end("lot")
     assert not owned.book.ended
-    assert other.notices.one_turn()
+    assert other.notices.run_once()
     other.know("g0", "g1")
-    assert not other.notices.one_turn()
+    assert not other.notices.run_once()
     assert owned.book.ended
     assert owned.stored.head.ended
     assert running.dropped == ["lot"]
 
 
-def test_an_end_reaches_a_gateway_that_has_just_lost_its_place_in_the_list(running, other, clock):
-    """It heard of the end once it had listed itself again, 2.1 s later, beside load after 3 s."""
+def test_an_end_reaches_a_gateway_just_dropped_from_the_member_list(running, other, clock):
+    """It was notified only once it was listed again, after 2.1 s, or 3 s under load."""
     owned = running.own()
     other.know("g0", "g1")
     other.know("g0")
     clock.at += 1.0
     other.reader.end("lot")
-    assert not other.notices.one_turn()
+    assert not other.notices.run_once()
     assert owned.book.ended
     assert running.dropped == ["lot"]
 
@@ -139,9 +139,9 @@
     other.know("g0", "g1")
     client.silent.add("g1:1")
     other.reader.end("lot")
-    assert other.notices.one_turn()
+    assert other.notices.run_once()
     client.silent.clear()
-    assert not other.notices.one_turn()
+    assert not other.notices.run_once()
     assert owned.book.ended
 
 
@@ -151,15 +151,15 @@
     book = book_of("abc")
     stored = other.journal.create(book.lot, HEAD)
     client.silent.add("g1:1")
-    other.reader.end("lot")  # it goes by the owner before
+    other.reader.end("lot")  # it uses the previous owner
     running.owned.add(OwnedLot(book, stored))
     client.silent.discard("g1:1")
-    other.notices.one_turn()
+    other.notices.run_once()
     assert book.ended
 
 
 def test_an_end_of_a_lot_that_was_taken_over_reaches_the_gateway_that_ran_it(running, other):
-    """It was not listed for a moment, and does not know that its lot went to another."""
+    """It was unlisted for a moment, and does not know that another gateway took its lot over."""
     owned = running.own()
     other.know("g0")
     other.owner.take_over(owned.stored)
@@ -167,7 +167,7 @@
     assert other.dropped == ["lot"]
     assert not owned.book.ended
     other.know("g0", "g1")
-    assert not other.notices.one_turn()
+    assert not other.notices.run_once()
     assert owned.book.ended
     assert running.dropped == ["lot"]
 
@@ -178,23 +178,23 @@
     running.owner.peers.member = Member("g1", "gateway", "2", "g1:1", "a", "")
     running.owner.take_over(old.stored)
     running.reader.end("lot")
-    assert not running.notices.one_turn()
+    assert not running.notices.run_once()
 
 
-def test_a_notice_that_no_owner_takes_is_given_up_after_a_while(running, other, clock):
+def test_a_notice_that_no_owner_confirms_expires(running, other, clock):
     running.journal.create(book_of("a").lot, HEAD)
     other.know("g0", "g1")
     other.reader.end("lot")
-    assert other.notices.one_turn()
-    clock.at += TOLD_FOR_S + 0.1
-    assert not other.notices.one_turn()
+    assert other.notices.run_once()
+    clock.at += NOTICE_TTL_S + 0.1
+    assert not other.notices.run_once()
 
 
 def test_an_end_that_its_owner_wrote_needs_no_notice(running, other):
     running.own()
     other.know("g0", "g1")
     other.reader.end("lot")
-    assert not other.notices.one_turn()
+    assert not other.notices.run_once()
 
 
 def test_a_notice_of_an_end_that_is_known_changes_nothing(running, other):
@@ -203,106 +203,108 @@
     reply = running.reader.peers.client.ask("g1:1", EndKept("g0", "g0:1", owned.stored), 1.0)
     assert reply == LotEnded(True, True)
     assert running.dropped == ["lot"]
-    gone = running.reader.peers.client.ask("g0:1", EndKept("g1", "g1:1", owned.stored), 1.0)
-    assert gone == LotEnded(False, False)
-    assert not isinstance(gone, Done)
+    unowned = running.reader.peers.client.ask("g0:1", EndKept("g1", "g1:1", owned.stored), 1.0)
+    assert unowned == LotEnded(False, False)
+    assert not isinstance(unowned, Done)
 
 
 def test_the_audit_notices_the_end_of_a_lot_that_runs_here(running, other):
     owned = running.own()
     running.know("g0", "g1")
-    stored = running.journal.head("lot")
-    running.journal.change(stored, ended=True)
-    LotAudit(running.owner, status_s=120.0)._audit()
+    stored = running.journal.read_head("lot")
+    running.journal.update(stored, ended=True)
+    LotAudit(running.owner, status_s=120.0)._scan()
     assert owned.book.ended
     assert running.dropped == ["lot"]
 
 
-def test_an_end_that_comes_again_long_after_is_not_told_again(running, other, clock):
+def test_a_repeated_end_is_not_notified_again(running, other, clock):
     running.journal.create(book_of("a").lot, HEAD)
     other.know("g0", "g1")
     other.reader.end("lot")
-    clock.at += TOLD_FOR_S + 0.1
-    assert not other.notices.one_turn()
+    clock.at += NOTICE_TTL_S + 0.1
+    assert not other.notices.run_once()
     other.reader.end("lot")
-    assert not other.notices.one_turn()
+    assert not other.notices.run_once()
 
 
-def test_a_lot_that_lay_idle_at_two_looks_is_taken_by_whoever_looks(other):
-    """Those that it fell to did not see its gateway go; the one that looks is not among them."""
+def test_a_lot_orphaned_at_two_scans_is_taken_over_by_any_scanner(other):
+    """Its assigned successors did not see the owner leave; the scanning gateway is none of them."""
     names = [f"g{n}" for n in range(12)]
-    gone = next(f"gone{n}" for n in range(99) if "g0" not in lookers_for(f"gone{n}", names))
-    head = msgspec.structs.replace(HEAD, owner=gone, incarnation="old")
+    left = next(f"gone{n}" for n in range(99) if "g0" not in scanners_for(f"gone{n}", names))
+    head = msgspec.structs.replace(HEAD, owner=left, incarnation="old")
     other.journal.create(book_of("a").lot, head)
     other.know(*names)
     audit = LotAudit(other.owner, status_s=120.0)
-    audit._audit()
+    audit._scan()
     assert other.owned.get("lot") is None
-    audit._audit()
+    audit._scan()
     assert other.owned.get("lot") is not None
 
 
-def test_a_lot_stays_where_it_is_while_its_heir_does_not_answer(running, other, client, clock):
-    """Else nobody would run it: its owner by the store does not look for lots that it never saw."""
+def test_a_lot_stays_where_it_is_while_its_successor_does_not_answer(running, other, client, clock):
+    """Otherwise nobody would run it.
+
+    The owner that the store names does not look for lots that it never received.
+    """
     owned = running.own()
     running.know("g0", "g1")
     client.silent.add("g0:1")
-    assert not running.owner._give_to(owned, running.picture.belief.members["g0"])
+    assert not running.owner._transfer_to(owned, running.picture.belief.members["g0"])
     assert running.owned.get("lot") is owned
     client.silent.clear()
-    assert running.owner._give_to(owned, running.picture.belief.members["g0"])
+    assert running.owner._transfer_to(owned, running.picture.belief.members["g0"])
     assert running.owned.get("lot") is None
     assert other.owned.get("lot") is not None
 
 
-def test_an_end_that_is_written_while_the_lot_is_taken_over_here_holds_here(running, other):
-    """Samples of an ended lot began 3.4 s after its end, once beside load.
+def test_an_end_written_during_a_takeover_ends_the_lot(running, other):
+    """Samples of an ended lot started 3.4 s after its end, once, under load.
 
-    How it came about: a gateway that was asked for the end did not own the lot, wrote the end to
-    the store and told the others, while its own look at idle lots took the lot over, from what it
-    had read before the end. Cause: an end was looked up among the lots that are owned, and a lot
-    that is being taken over is not among them yet. Proof: the lines of that run; without the mend
-    each order of the two fails.
+    A gateway that did not own the lot wrote its end and notified the others, while its own audit
+    took the lot over from what it had read before the end. Ends were looked up among the owned lots
+    only, and a lot that is being taken over is not one of them yet. Confirmed by the log lines of
+    that run; without the fix both orders of end and takeover fail.
     """
     running.own()
-    stored = other.journal.head("lot")
-    whole = other.journal.whole
+    stored = other.journal.read_head("lot")
+    load_from_head = other.journal.load_from_head
 
     def end_meanwhile(head):
-        found = whole(head)
+        found = load_from_head(head)
         other.reader.end("lot")
         return found
 
-    other.journal.whole = end_meanwhile
+    other.journal.load_from_head = end_meanwhile
     other.owner.take_over(stored)
     assert other.owned.get("lot").book.ended
 
 
 def test_a_lot_that_is_taken_over_while_its_end_is_being_written_is_ended(running, other):
     running.own()
-    stored = other.journal.head("lot")
-    write = other.owner._end_kept
+    stored = other.journal.read_head("lot")
+    write = other.owner._store_end
 
     def take_over_first(head):
         other.owner.take_over(stored)
         return write(head)
 
-    other.owner._end_kept = take_over_first
+    other.owner._store_end = take_over_first
     other.reader.end("lot")
     assert other.owned.get("lot").book.ended
 
 
-def test_an_end_that_is_told_while_the_lot_is_taken_over_holds_once_it_is(running, other):
+def test_a_notice_received_during_a_takeover_ends_the_lot(running, other):
     running.own()
-    stored = other.journal.head("lot")
-    whole = other.journal.whole
+    stored = other.journal.read_head("lot")
+    load_from_head = other.journal.load_from_head
 
     def told_meanwhile(head):
-        found = whole(head)
+        found = load_from_head(head)
         running.owner.end("lot")
-        other.owner.apply_end(running.journal.head("lot"))
+        other.owner.apply_end(running.journal.read_head("lot"))
         return found
 
-    other.journal.whole = told_meanwhile
+    other.journal.load_from_head = told_meanwhile
     other.owner.take_over(stored)
     assert other.owned.get("lot").book.ended
--- a/tests/lots/test_head_lookup.py
+++ b/tests/lots/test_head_lookup.py
@@ -1,4 +1,4 @@
-"""Who reads the head of a lot that several gateways are asked for."""
+"""Which gateway reads the head of a lot that several gateways are asked for."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from threadramp.policy.routing import rendezvous
 
 NAMES = [f"g{n}" for n in range(8)]
-FINDER = rendezvous("lot", NAMES)[0]
+RESPONSIBLE = rendezvous("lot", NAMES)[0]
 FAR = msgspec.structs.replace(HEAD, owner="far")
 
 
@@ -29,38 +29,38 @@
 
 @pytest.fixture
 def reader(fleet) -> Gateway:
-    return next(gateway for name, gateway in fleet.items() if name != FINDER)
+    return next(gateway for name, gateway in fleet.items() if name != RESPONSIBLE)
 
 
 def found_by(gateway: Gateway):
-    return gateway.reader.remote_lots._cached("lot").stored
+    return gateway.reader.remote_lots._cached_lot("lot").stored
 
 
-def test_a_data_centre_reads_it_once(fleet, platform_store):
-    """Each of its gateways read it for itself: calls grew with gateways times lots."""
+def test_a_data_centre_reads_a_head_once(fleet, platform_store):
+    """Each of its gateways read it itself: calls grew with gateways times lots."""
     stored = fleet["g0"].journal.create(book_of("abc").lot, FAR)
     before = platform_store.counts["reads"]
     assert all(found_by(gateway) == stored for gateway in fleet.values())
     assert platform_store.counts["reads"] - before == 1
 
 
-def test_where_the_finder_does_not_answer_it_is_read_here(fleet, reader, client):
+def test_a_head_is_read_here_if_the_responsible_gateway_does_not_answer(fleet, reader, client):
     stored = fleet["g0"].journal.create(book_of("abc").lot, FAR)
-    client.silent.add(f"{FINDER}:1")
+    client.silent.add(f"{RESPONSIBLE}:1")
     assert found_by(reader) == stored
 
 
 def test_only_the_store_says_that_there_is_no_such_lot(fleet, reader, platform_store):
-    """The finder's word may be older than the lot."""
+    """The answer of the responsible gateway may be older than the lot."""
     before = platform_store.counts["reads"]
     with pytest.raises(LotUnknownError):
         found_by(reader)
     assert platform_store.counts["reads"] - before == 2
 
 
-def test_a_lot_that_the_finder_runs_needs_no_read(fleet, reader, platform_store):
-    finder = fleet[FINDER]
-    owned = finder.own()
+def test_a_lot_that_the_responsible_gateway_runs_needs_no_read(fleet, reader, platform_store):
+    responsible = fleet[RESPONSIBLE]
+    owned = responsible.own()
     before = platform_store.counts["reads"]
     assert found_by(reader) == owned.stored
     assert platform_store.counts["reads"] == before
--- a/tests/lots/test_owner.py
+++ b/tests/lots/test_owner.py
@@ -1,4 +1,4 @@
-"""Whose a lot is when gateways come and go."""
+"""The owner of a lot when gateways come and go."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 from tests.stores import MemoryStore
 from threadramp.fleet.model import PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Member
-from threadramp.lots.audit import LOOKERS, heir_of, is_look_due, lookers_for, regular_lookers
+from threadramp.lots.audit import (
+    SCANNERS,
+    is_scan_due,
+    periodic_scanners,
+    scanners_for,
+    successor_of,
+)
 from threadramp.lots.checkpoints import Checkpoints
 from threadramp.lots.journal import LotJournal
 from threadramp.lots.model import Lot, LotHead, Sample, StoredHead
@@ -27,51 +33,55 @@
 
 
 def test_a_lot_goes_to_the_next_process_on_its_owners_box():
-    assert heir_of(stored("g1"), live("g0", "g1", "g2")) == "g1"
+    assert successor_of(stored("g1"), live("g0", "g1", "g2")) == "g1"
 
 
-def test_all_gateways_agree_on_the_heir_of_a_lot_whose_owner_is_gone():
-    heirs = {heir_of(stored("gone"), live(*names)) for names in (["g0", "g1"], ["g1", "g0"])}
-    assert len(heirs) == 1
+def test_all_gateways_agree_on_the_successor_of_a_lot_whose_owner_left():
+    successors = {
+        successor_of(stored("gone"), live(*names)) for names in (["g0", "g1"], ["g1", "g0"])
+    }
+    assert len(successors) == 1
 
 
-def test_the_lots_of_a_gateway_that_is_gone_are_spread():
-    heirs = {heir_of(stored("gone", f"lot{n}"), live("g0", "g1", "g2")) for n in range(30)}
-    assert heirs == {"g0", "g1", "g2"}
+def test_the_lots_of_a_gateway_that_left_are_spread():
+    successors = {
+        successor_of(stored("gone", f"lot{n}"), live("g0", "g1", "g2")) for n in range(30)
+    }
+    assert successors == {"g0", "g1", "g2"}
 
 
-def test_lots_are_looked_through_when_a_gateway_is_gone_not_when_one_is_new():
+def test_lots_are_scanned_when_a_gateway_left_not_when_one_is_new():
     one, other, again = ("g1", "a"), ("g2", "a"), ("g2", "b")
-    assert not is_look_due(frozenset(), frozenset({one}), "g1")
-    assert not is_look_due(frozenset({one}), frozenset({one, other}), "g1")
-    assert is_look_due(frozenset({one, other}), frozenset({one}), "g1")
-    assert is_look_due(frozenset({one, other}), frozenset({one, again}), "g1")
+    assert not is_scan_due(frozenset(), frozenset({one}), "g1")
+    assert not is_scan_due(frozenset({one}), frozenset({one, other}), "g1")
+    assert is_scan_due(frozenset({one, other}), frozenset({one}), "g1")
+    assert is_scan_due(frozenset({one, other}), frozenset({one, again}), "g1")
 
 
-def test_few_look_for_the_lots_of_one_that_is_gone_and_they_are_its_heirs():
+def test_few_gateways_scan_for_the_lots_of_one_that_left_and_succeed_it():
     names = [f"g{n}" for n in range(58)]
     before = frozenset((name, "a") for name in [*names, "gone"])
     after = frozenset((name, "a") for name in names)
-    looking = {name for name in names if is_look_due(before, after, name)}
-    assert looking == set(lookers_for("gone", names))
-    assert len(looking) == LOOKERS
-    heirs = {heir_of(stored("gone", f"lot{n}"), live(*names)) for n in range(200)}
-    assert heirs == looking
+    scanning = {name for name in names if is_scan_due(before, after, name)}
+    assert scanning == set(scanners_for("gone", names))
+    assert len(scanning) == SCANNERS
+    successors = {successor_of(stored("gone", f"lot{n}"), live(*names)) for n in range(200)}
+    assert successors == scanning
 
 
-def test_one_that_goes_with_its_heir_is_looked_for_by_the_next():
+def test_the_next_gateways_scan_if_a_gateway_leaves_with_its_successor():
     names = [f"g{n}" for n in range(58)]
-    first = lookers_for("gone", names)[0]
-    left = [name for name in names if name != first]
+    first = scanners_for("gone", names)[0]
+    remaining = [name for name in names if name != first]
     before = frozenset((name, "a") for name in [*names, "gone"])
-    after = frozenset((name, "a") for name in left)
-    for name in lookers_for("gone", left):
-        assert is_look_due(before, after, name)
+    after = frozenset((name, "a") for name in remaining)
+    for name in scanners_for("gone", remaining):
+        assert is_scan_due(before, after, name)
 
 
-def test_as_many_look_regularly_in_a_large_fleet_as_in_a_small_one():
-    assert regular_lookers(["g1", "g0"]) == regular_lookers(["g0", "g1"])
-    assert len(regular_lookers([f"g{n}" for n in range(350)])) == 6
+def test_the_number_of_periodic_scanners_does_not_grow_with_the_fleet():
+    assert periodic_scanners(["g1", "g0"]) == periodic_scanners(["g0", "g1"])
+    assert len(periodic_scanners([f"g{n}" for n in range(350)])) == 6
 
 
 GIVE_UP_S = 40.0
@@ -108,22 +118,22 @@
     )
 
 
-@pytest.mark.parametrize(("first_ahead", "heir_ahead"), [(-3.0, 3.0), (0.0, 3.0), (3.0, -3.0)])
-def test_who_takes_a_lot_over_gives_no_sample_up_early_whatever_the_clocks_say(
-    clock, first_ahead, heir_ahead
+@pytest.mark.parametrize(("first_ahead", "successor_ahead"), [(-3.0, 3.0), (0.0, 3.0), (3.0, -3.0)])
+def test_a_takeover_gives_up_no_sample_early_despite_clock_skew(
+    clock, first_ahead, successor_ahead
 ):
-    """The hand-in is told by the time of day of one box and compared with that of another."""
+    """The submission time is from the clock of one box and compared with that of another."""
     store = MemoryStore()
     first = owner_at("g1", store, ShiftedClock(clock, first_ahead))
-    heir = owner_at("g2", store, ShiftedClock(clock, heir_ahead))
+    successor = owner_at("g2", store, ShiftedClock(clock, successor_ahead))
     sample = Sample("a", "/p", (), b"prompt", 1, "g", None, 0)
     lot = Lot("lot", "host", "/p/", 0, "m", 1, 1, (sample,))
     shares = (PoolShare("pool", 1.0),)
     route = Route("r", "host", "/p/", RouteKind.SAMPLES, shares, 2.0, 1.0, 3, give_up_s=GIVE_UP_S)
     submitted_at = clock.at
-    first.submit(lot, route, patience_s=1.0)
+    first.submit(lot, route, retry_for_s=1.0)
     clock.at += 5.0
-    heir.take_over(heir.journal.head("lot"))
-    taken = heir.owned.get("lot").book
+    successor.take_over(successor.journal.read_head("lot"))
+    taken = successor.owned.get("lot").book
     assert taken.rules.give_up_at > submitted_at + GIVE_UP_S
-    assert taken.rules.give_up_at < submitted_at + GIVE_UP_S + 15.0  # and not for long after
+    assert taken.rules.give_up_at < submitted_at + GIVE_UP_S + 15.0  # nor long after
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -1,4 +1,4 @@
-"""Reading lots at gateways that own them, do not, or do not any more."""
+"""Reading lots at gateways that own them, do not own them, or no longer own them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from threadramp.lots.journal import LotJournal
 from threadramp.lots.model import LotHead, Result, ResultState
 from threadramp.lots.owned import OwnedLot, OwnedLots
-from threadramp.lots.reading import LOOK_S, LotReader
+from threadramp.lots.reading import OWNERSHIP_CHECK_S, LotReader
 from threadramp.lots.remote_lots import LotUnknownError
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Item, Listing, StoreError
@@ -27,7 +27,7 @@
 
 
 class Owner:
-    """Lets go of lots as the real one does."""
+    """Releases lots as the real owner does."""
 
     def __init__(self, owned: OwnedLots) -> None:
         self.owned = owned
@@ -37,7 +37,7 @@
 
 
 class Client:
-    """Peers that answer as they are told."""
+    """Peers that answer as configured."""
 
     def __init__(self) -> None:
         self.replies: dict[str, object] = {}
@@ -46,8 +46,8 @@
         return self.replies.get(address)
 
 
-class World:
-    """One gateway, ``g0``, before a store that has a lot of three samples."""
+class Gateway:
+    """One gateway, ``g0``, and a store that has a lot of three samples."""
 
     def __init__(self, clock, store_address) -> None:
         self.clock = clock
@@ -66,10 +66,10 @@
         self.stored = self.journal.append(self.stored, [result(name)])
 
     def own(self) -> None:
-        """Let the gateway believe that it owns the lot, with what is listed now."""
-        self.stored = self.journal.change(self.stored, owner="g0")
+        """Make the gateway consider itself the owner of the lot, with the current results."""
+        self.stored = self.journal.update(self.stored, owner="g0")
         self.book.appended(())
-        for one in self.journal.results(self.stored, 0):
+        for one in self.journal.read_results(self.stored, 0):
             self.book.appended([one])
         self.owned.add(OwnedLot(self.book, self.stored))
 
@@ -78,114 +78,114 @@
 
 
 @pytest.fixture
-def world(clock, store_address) -> World:
-    return World(clock, store_address)
-
-
-def test_the_owner_tells_what_is_listed(world):
-    world.append("a")
-    world.own()
-    assert world.names() == ["a"]
-    assert world.names(1) == []
-
-
-def test_an_owner_that_lost_the_lot_without_knowing_tells_what_the_next_one_listed(world):
-    world.append("a")
-    world.own()
-    assert world.names(1) == []
-    world.stored = world.journal.change(world.stored, owner="g2")
-    world.append("b")
-    world.clock.at += 0.9
-    assert world.names(1) == ["b"]
-    assert world.owned.get("lot") is None
-
-
-def test_an_owner_before_that_still_answers_is_not_believed_without_a_look(world):
-    world.append("a")
-    world.client.replies["g1:1"] = LotPage(3, False, (result("a"),))
-    assert world.names() == ["a"]
-    world.stored = world.journal.change(world.stored, owner="g2")
-    world.append("b")
-    world.client.replies["g1:1"] = LotPage(3, False, ())
-    world.clock.at += 0.9
-    assert world.names(1) == ["b"]
-
-
-def test_without_a_way_to_the_store_nobody_is_sure_that_nothing_stands_there(world, platform_store):
-    world.append("a")
-    world.own()
+def gateway(clock, store_address) -> Gateway:
+    return Gateway(clock, store_address)
+
+
+def test_the_owner_returns_what_is_listed(gateway):
+    gateway.append("a")
+    gateway.own()
+    assert gateway.names() == ["a"]
+    assert gateway.names(1) == []
+
+
+def test_an_owner_that_lost_the_lot_unknowingly_returns_what_the_next_one_listed(gateway):
+    gateway.append("a")
+    gateway.own()
+    assert gateway.names(1) == []
+    gateway.stored = gateway.journal.update(gateway.stored, owner="g2")
+    gateway.append("b")
+    gateway.clock.at += 0.9
+    assert gateway.names(1) == ["b"]
+    assert gateway.owned.get("lot") is None
+
+
+def test_a_previous_owner_that_still_answers_is_not_trusted_without_a_check(gateway):
+    gateway.append("a")
+    gateway.client.replies["g1:1"] = LotPage(3, False, (result("a"),))
+    assert gateway.names() == ["a"]
+    gateway.stored = gateway.journal.update(gateway.stored, owner="g2")
+    gateway.append("b")
+    gateway.client.replies["g1:1"] = LotPage(3, False, ())
+    gateway.clock.at += 0.9
+    assert gateway.names(1) == ["b"]
+
+
+def test_without_the_store_no_gateway_answers_that_there_is_no_result(gateway, platform_store):
+    gateway.append("a")
+    gateway.own()
     platform_store.faults["calls_per_s"] = 0.001
     platform_store.faults_changed()
-    assert world.names() == ["a"]
+    assert gateway.names() == ["a"]
     with pytest.raises(StoreError):
-        world.names(1)
+        gateway.names(1)
 
 
-def test_the_store_is_not_asked_at_each_look(world, platform_store):
-    world.append("a")
-    world.own()
+def test_the_store_is_not_asked_at_each_read(gateway, platform_store):
+    gateway.append("a")
+    gateway.own()
     before = platform_store.counts["reads"]
     for _ in range(8):
-        world.clock.at += 0.1
-        assert world.names(1) == []
+        gateway.clock.at += 0.1
+        assert gateway.names(1) == []
     assert platform_store.counts["reads"] - before <= 2
 
 
-def test_a_lot_that_the_store_does_not_have_is_unknown(world):
+def test_a_lot_that_the_store_does_not_have_is_unknown(gateway):
     with pytest.raises(LotUnknownError):
-        world.reader.results("other", 0, 0.0)
+        gateway.reader.results("other", 0, 0.0)
 
 
-def test_what_was_read_once_is_told_without_owner_and_store(world, platform_store):
-    world.append("a")
-    world.client.replies["g1:1"] = LotPage(3, False, (result("a"),))
-    assert world.names() == ["a"]
-    world.client.replies.clear()
+def test_what_was_read_once_is_returned_without_owner_and_store(gateway, platform_store):
+    gateway.append("a")
+    gateway.client.replies["g1:1"] = LotPage(3, False, (result("a"),))
+    assert gateway.names() == ["a"]
+    gateway.client.replies.clear()
     platform_store.faults["calls_per_s"] = 0.001
     platform_store.faults_changed()
-    assert world.names() == ["a"]
+    assert gateway.names() == ["a"]
 
 
-def test_an_owner_whose_write_was_just_taken_needs_no_look(world, platform_store):
-    world.append("a")
-    world.own()
-    world.owned.get("lot").ownership_confirmed_at = world.clock.now()
+def test_an_owner_whose_write_was_just_committed_needs_no_check(gateway, platform_store):
+    gateway.append("a")
+    gateway.own()
+    gateway.owned.get("lot").ownership_confirmed_at = gateway.clock.now()
     before = platform_store.counts["reads"]
-    assert world.names(1) == []
+    assert gateway.names(1) == []
     assert platform_store.counts["reads"] == before
-    world.clock.at += LOOK_S + 0.1
-    assert world.names(1) == []
+    gateway.clock.at += OWNERSHIP_CHECK_S + 0.1
+    assert gateway.names(1) == []
     assert platform_store.counts["reads"] == before + 1
 
 
-def test_a_reader_elsewhere_believes_an_owner_that_is_sure(world, platform_store):
-    world.append("a")
-    world.client.replies["g1:1"] = LotPage(3, False, (result("a"),), True)
-    assert world.names() == ["a"]
-    world.client.replies["g1:1"] = LotPage(3, False, (), True)
+def test_a_remote_reader_trusts_an_owner_that_is_sure(gateway, platform_store):
+    gateway.append("a")
+    gateway.client.replies["g1:1"] = LotPage(3, False, (result("a"),), True)
+    assert gateway.names() == ["a"]
+    gateway.client.replies["g1:1"] = LotPage(3, False, (), True)
     before = platform_store.counts["reads"]
     for _ in range(4):
-        world.clock.at += 0.5
-        assert world.names(1) == []
+        gateway.clock.at += 0.5
+        assert gateway.names(1) == []
     assert platform_store.counts["reads"] == before
 
 
-def test_an_owner_answers_a_peer_only_when_it_is_sure(world):
-    world.append("a")
-    world.own()
+def test_an_owner_answers_a_peer_only_when_it_is_sure(gateway):
+    gateway.append("a")
+    gateway.own()
     ask = ReadLot("g2", "g2:1", "lot", 1, 0.0)
-    assert world.reader.page_for_peer(ask) == LotPage(3, False, (), True)
-    world.stored = world.journal.change(world.stored, owner="g2")
-    world.append("b")
-    world.clock.at += LOOK_S + 0.1
-    assert world.reader.page_for_peer(ask).total == 0
-    assert world.owned.get("lot") is None
+    assert gateway.reader.page_for_peer(ask) == LotPage(3, False, (), True)
+    gateway.stored = gateway.journal.update(gateway.stored, owner="g2")
+    gateway.append("b")
+    gateway.clock.at += OWNERSHIP_CHECK_S + 0.1
+    assert gateway.reader.page_for_peer(ask).total == 0
+    assert gateway.owned.get("lot") is None
 
 
-def test_an_owner_without_a_way_is_not_sure_for_a_peer(world, platform_store):
-    world.append("a")
-    world.own()
+def test_an_owner_that_cannot_reach_the_store_is_not_sure_for_a_peer(gateway, platform_store):
+    gateway.append("a")
+    gateway.own()
     platform_store.faults["calls_per_s"] = 0.001
     platform_store.faults_changed()
-    page = world.reader.page_for_peer(ReadLot("g2", "g2:1", "lot", 1, 0.0))
+    page = gateway.reader.page_for_peer(ReadLot("g2", "g2:1", "lot", 1, 0.0))
     assert (page.total, page.sure) == (0, False)
--- a/tests/lots/test_sample_moves.py
+++ b/tests/lots/test_sample_moves.py
@@ -1,4 +1,4 @@
-"""Samples that are taken from a slower engine."""
+"""Samples that are taken back from a slower engine."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from threadramp.lots.sample_moves import SampleMoves
 from threadramp.policy.moves import SETTLED_EVENTS
 
-EXPECTED = 150  # events; nothing is known of tokens yet
+EXPECTED = 150  # events; the tokens per event are not learned yet
 
 
 @pytest.fixture
@@ -31,26 +31,26 @@
     return lot.book.states["a"]
 
 
-def test_a_sample_that_is_taken_waits_with_its_events(owned, clock):
+def test_a_moved_sample_waits_with_its_events(owned, clock):
     state = run_at_slow(owned, SETTLED_EVENTS)
     dropped = []
     moves = SampleMoves(owned, clock, lambda seen, have: dropped.append((seen.member.name, have)))
-    moves.turn({"slow": view("slow", 60.0), "a": view("a"), "b": view("b")})
+    moves.run_once({"slow": view("slow", 60.0), "a": view("a"), "b": view("b")})
     assert dropped == [("slow", {"a": SETTLED_EVENTS})]
     assert state.phase is Phase.WAITING
     assert len(state.events) == SETTLED_EVENTS
 
 
-def test_one_that_has_just_begun_stays(owned, clock):
+def test_a_sample_that_has_just_started_stays(owned, clock):
     run_at_slow(owned, SETTLED_EVENTS - 1)
     dropped = []
     moves = SampleMoves(owned, clock, lambda seen, have: dropped.append(have))
-    moves.turn({"slow": view("slow", 60.0), "a": view("a"), "b": view("b")})
+    moves.run_once({"slow": view("slow", 60.0), "a": view("a"), "b": view("b")})
     assert dropped == []
 
 
 def test_a_sidecar_that_is_not_known_any_more_keeps_its_samples(owned, clock):
     run_at_slow(owned, SETTLED_EVENTS)
     dropped = []
-    SampleMoves(owned, clock, lambda seen, have: dropped.append(have)).turn({"a": view("a")})
+    SampleMoves(owned, clock, lambda seen, have: dropped.append(have)).run_once({"a": view("a")})
     assert dropped == []
--- a/tests/lots/test_scoped_ids.py
+++ b/tests/lots/test_scoped_ids.py
@@ -1,4 +1,4 @@
-"""Names of lots and samples of several organisations."""
+"""Scoped ids of the lots and samples of several organisations."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 @given(names, ids, names, ids)
-def test_no_two_organisations_share_a_name(one, its, other, others):
-    same = scoped_id(one, its) == scoped_id(other, others)
-    assert same == ((one, its) == (other, others))
-    assert scoped_id(one, its) != scoped_id("", others)
+def test_no_two_organisations_share_an_id(first, first_id, second, second_id):
+    same = scoped_id(first, first_id) == scoped_id(second, second_id)
+    assert same == ((first, first_id) == (second, second_id))
+    assert scoped_id(first, first_id) != scoped_id("", second_id)
 
 
 @given(names, ids)
-def test_the_callers_id_comes_back(organisation, given_id):
+def test_the_callers_id_is_restored(organisation, given_id):
     assert unscoped_id(scoped_id(organisation, given_id)) == given_id
     assert unscoped_id(scoped_id(None, given_id)) == given_id
 
 
-def test_a_name_fits_into_a_key_of_the_store():
+def test_a_scoped_id_fits_into_a_key_of_the_store():
     assert len(scoped_id("ü" * 200, "")) < 60
--- a/tests/lots/test_urgent_loads.py
+++ b/tests/lots/test_urgent_loads.py
@@ -1,4 +1,4 @@
-"""Loads that a lot's gateway asks for."""
+"""Loads that the gateway of a lot requests."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from threadramp.fleet.picture import Member
 from threadramp.lots.model import StoredHead
 from threadramp.lots.owned import OwnedLot, OwnedLots
-from threadramp.lots.urgent_loads import AGAIN_S, UrgentLoads
+from threadramp.lots.urgent_loads import REPEAT_INTERVAL_S, UrgentLoads
 from threadramp.wire.fleet import HurryLoad
 
 
 @dataclass
 class Peers:
-    """Notes what is asked."""
+    """Records what is asked."""
 
     myself: tuple[str, str] = ("g0", "g0:1")
     asked: list[dict[str, HurryLoad]] = field(default_factory=list)
@@ -28,7 +28,7 @@
 
 
 @pytest.fixture
-def hurried(clock) -> UrgentLoads:
+def urgent_loads(clock) -> UrgentLoads:
     clock.at = 50.0
     owned = OwnedLots()
     book = make_book(make_sample("a", "g"), min_version=4)
@@ -36,20 +36,20 @@
     return UrgentLoads(owned, Peers(), clock)
 
 
-def test_engines_are_asked_once_in_a_while_for_a_lot_that_none_can_run(hurried, clock):
+def test_engines_are_asked_once_in_a_while_for_a_lot_that_none_can_run(urgent_loads, clock):
     views = [view("a", version=3), view("b", version=2)]
-    hurried.turn(views)
-    hurried.turn(views)
-    (asks,) = hurried.peers.asked
+    urgent_loads.run_once(views)
+    urgent_loads.run_once(views)
+    (asks,) = urgent_loads.peers.asked
     assert asks == {f"{name}:1": HurryLoad("g0", "g0:1", "m", f"{name}:80") for name in "ab"}
-    clock.at += AGAIN_S + 0.1
-    hurried.turn(views)
-    assert len(hurried.peers.asked) == 2
+    clock.at += REPEAT_INTERVAL_S + 0.1
+    urgent_loads.run_once(views)
+    assert len(urgent_loads.peers.asked) == 2
 
 
-def test_none_is_asked_where_nothing_waits_or_one_engine_can_run_it(hurried):
-    hurried.turn([view("a", version=4), view("b", version=3)])
-    (lot,) = hurried.owned.open()
+def test_none_is_asked_where_nothing_waits_or_one_engine_can_run_it(urgent_loads):
+    urgent_loads.run_once([view("a", version=4), view("b", version=3)])
+    (lot,) = urgent_loads.owned.open()
     start(lot.book, "a", "s1")
-    hurried.turn([view("a", version=3)])
-    assert hurried.peers.asked == []
+    urgent_loads.run_once([view("a", version=3)])
+    assert urgent_loads.peers.asked == []
