--- a/src/threadramp/duties/__init__.py
+++ b/src/threadramp/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties: what one box at a time does for the whole fleet."""
+"""Duties: fleet-wide tasks that one gateway at a time performs."""
--- a/src/threadramp/duties/collecting.py
+++ b/src/threadramp/duties/collecting.py
@@ -1,4 +1,4 @@
-"""Counts the requests that endpoints begin, and collects the counts of all gateways."""
+"""Counts the requests that endpoints start, and collects the counts of all gateways."""
 
 from __future__ import annotations
 
@@ -19,29 +19,30 @@
     from threadramp.policy.true_time import TrueTime
 
 ASK_TIMEOUT_S = 0.5
-NEVER = 0.0  # a true time before all windows
-EARLY_S = 10.0  # after its start; by then a process has heard from others what the time is
+NEVER = 0.0  # a true time before any window
+STARTUP_S = 10.0  # after its start; by then a process has received the time from others
 
 
 @dataclass
-class _Early:
-    """A request that was counted soon after the start.
+class _StartupCount:
+    """A request that was counted soon after the start of the process.
 
-    :param steady: time of the steady clock at which it was sent
-    :param counted_at: true time of it as it was known when it was counted
+    :param sent_at: time of the steady clock at which it was sent
+    :param counted_at: its true time as known when it was counted
     """
 
     organisation: str
-    steady: float
+    sent_at: float
     counted_at: float
     count: int
 
 
 class UsageCounter:
-    """The counts of this gateway.
+    """The request counts of this gateway.
 
-    Its own time of day may be off, and it serves before others told it. So what it counts soon
-    after its start is moved to the windows where it belongs once it knows better.
+    The clock of its box may be off, and it serves requests before other gateways have reported the
+    time. What it counts soon after its start is therefore moved to the right windows once the time
+    is known.
 
     :param window_s: length of a window
     """
@@ -52,64 +53,68 @@
         self.box = box
         self.incarnation = incarnation
         self.open: Callable[[], Open] = dict
-        self.early_until = true_time.clock.now() + EARLY_S
-        self.early: list[_Early] = []
+        self.startup_ends_at = true_time.clock.now() + STARTUP_S
+        self.startup_counts: list[_StartupCount] = []
         self.lock = threading.Lock()
 
-    def count_sent(self, organisation: str | None, steady: float) -> None:
-        """Count a request that an endpoint began; one of nobody in particular is none.
+    def count_sent(self, organisation: str | None, sent_at: float) -> None:
+        """Count a request that an endpoint started, unless it has no organisation.
 
-        :param steady: time of the steady clock at which it was sent
+        :param sent_at: time of the steady clock at which it was sent
         """
-        self._note(organisation, steady, 1)
+        self._add(organisation, sent_at, 1)
 
-    def uncount(self, organisation: str | None, steady: float) -> None:
-        """Take it back, since its endpoint says that it did not run."""
-        self._note(organisation, steady, -1)
+    def uncount(self, organisation: str | None, sent_at: float) -> None:
+        """Undo the count of a request, since its endpoint reports that it did not run."""
+        self._add(organisation, sent_at, -1)
 
     def changed_since(self, seen: int) -> tuple[int, dict[int, dict[str, int]]]:
-        """Return the number of the last change, and the windows that changed after another one."""
+        """Return the number of the last change, and the windows changed after change ``seen``."""
         with self.lock:
-            self._place_early()
+            self._move_startup_counts()
         return self.book.changed_since(seen)
 
     def answer(self, ask: ReadUsage) -> UsageCounts:
-        """Tell a collector what changed since it asked last; it also tells what time it is."""
+        """Report to a collector what changed since its last question.
+
+        The collector's question carries its time, which is recorded.
+        """
         now = self.true_time.clock.now()
         self.true_time.note(ask.sender, ask.true_time, now)
         seen = ask.seen if ask.incarnation == self.incarnation else 0
-        is_sure = self.true_time.is_sure()  # before its windows are read: others tell at any time
+        # Read before the windows, since the time may be received at any moment.
+        is_sure = self.true_time.is_sure()
         changes, windows = self.changed_since(seen)
         time_of_day = self.true_time.clock.time_of_day()
         return UsageCounts(
             self.box, self.incarnation, changes, windows, time_of_day, self.open(), is_sure
         )
 
-    def _note(self, organisation: str | None, steady: float, count: int) -> None:
+    def _add(self, organisation: str | None, sent_at: float, count: int) -> None:
         if not organisation:
             return
-        at = self.true_time.at(steady)
+        at = self.true_time.at(sent_at)
         with self.lock:
             self.book.add(organisation, at, count)
-            if steady < self.early_until:
-                self.early.append(_Early(organisation, steady, at, count))
+            if sent_at < self.startup_ends_at:
+                self.startup_counts.append(_StartupCount(organisation, sent_at, at, count))
 
-    def _place_early(self) -> None:
-        """Move what was counted by another time than the one that is known now; the lock is held.
+    def _move_startup_counts(self) -> None:
+        """Move requests that were counted with a wrong time; the caller holds the lock.
 
-        What was early is looked at once more when that time is over, and then forgotten.
+        Requests of the startup time are checked once more after it is over, and then dropped.
         """
-        for one in self.early:
-            at = self.true_time.at(one.steady)
+        for one in self.startup_counts:
+            at = self.true_time.at(one.sent_at)
             if self.book.window_at(at) != self.book.window_at(one.counted_at):
                 self.book.move(one.organisation, one.counted_at, at, one.count)
                 one.counted_at = at
-        if self.true_time.clock.now() > self.early_until + EARLY_S:
-            self.early.clear()
+        if self.true_time.clock.now() > self.startup_ends_at + STARTUP_S:
+            self.startup_counts.clear()
 
 
 class UsageCollector:
-    """Asks all gateways for their counts, each as far as it is not known here yet."""
+    """Asks all gateways for the counts that are not known here yet."""
 
     def __init__(self, peers: Peers, counter: UsageCounter, true_time: TrueTime) -> None:
         self.peers = peers
@@ -117,58 +122,61 @@
         self.true_time = true_time
         self.table = UsageTable(counter.book.window_s)
         self.incarnations: dict[str, str] = {}
-        self.unanswered: dict[str, int] = {}
-        self.opened: dict[str, Open] = {}
+        self.missed_rounds: dict[str, int] = {}
+        self.open_by_gateway: dict[str, Open] = {}
         self.lock = threading.Lock()
 
     def round(self) -> int:
         """Ask all other gateways once; returns how many answered."""
         others = self.peers.gateways_lately()
         asks = {one.address: self._ask(one) for one in others}
-        begun = self.peers.clock.now()
+        started_at = self.peers.clock.now()
         replies = self.peers.ask_all(asks, ASK_TIMEOUT_S) if asks else {}
-        middle = (begun + self.peers.clock.now()) / 2
-        told = []
+        midpoint = (started_at + self.peers.clock.now()) / 2
+        counts = []
         for member in others:
             reply = replies.get(member.address)
             if isinstance(reply, UsageCounts) and reply.box == member.name:
-                self.unanswered.pop(member.name, None)
-                self.true_time.note(reply.box, reply.time_of_day, middle)
-                told.append(reply)
+                self.missed_rounds.pop(member.name, None)
+                self.true_time.note(reply.box, reply.time_of_day, midpoint)
+                counts.append(reply)
             else:
-                self.unanswered[member.name] = self.unanswered.get(member.name, 0) + 1
-        asked_at = self.true_time.at(begun)  # as the answers show the time, not as it was before
-        for reply in told:
-            self.take(reply, asked_at)
-        self._take_own(asked_at)
+                self.missed_rounds[member.name] = self.missed_rounds.get(member.name, 0) + 1
+        asked_at = self.true_time.at(started_at)  # with the time corrected by the answers
+        for reply in counts:
+            self.record(reply, asked_at)
+        self._record_own(asked_at)
         names = {one.name for one in others}
-        self.unanswered = {name: n for name, n in self.unanswered.items() if name in names}
+        self.missed_rounds = {name: n for name, n in self.missed_rounds.items() if name in names}
         self._forget_old({*names, self.counter.box})
         return len(replies)
 
     def _forget_old(self, names: set[str]) -> None:
-        """Drop windows that nobody reports any more, and what is open at gateways that are gone.
+        """Drop windows that are no longer reported, and the open requests of gateways that left.
 
-        Also where this gateway collects beside the holder and reports nothing itself.
+        A gateway that collects in addition to the holder, and reports nothing itself, drops them
+        too.
         """
         oldest = self.counter.book.window_at(self.true_time.now()) - KEPT_WINDOWS
         with self.lock:
             self.table.forget_before(oldest)
-            self.opened = {name: row for name, row in self.opened.items() if name in names}
+            self.open_by_gateway = {
+                name: row for name, row in self.open_by_gateway.items() if name in names
+            }
 
-    def take(self, told: UsageCounts, asked_at: float) -> None:
-        """Take what a gateway told.
+    def record(self, counts: UsageCounts, asked_at: float) -> None:
+        """Record the counts that a gateway reported.
 
-        :param asked_at: true time from which on it had not been asked
+        :param asked_at: true time before which it was not asked
         """
         with self.lock:
-            self.incarnations[told.box] = told.incarnation
-            self.opened[told.box] = told.open
-            at = asked_at if told.is_sure else NEVER
-            self.table.note(told.box, told.incarnation, told.changes, told.windows, at)
+            self.incarnations[counts.box] = counts.incarnation
+            self.open_by_gateway[counts.box] = counts.open
+            at = asked_at if counts.is_sure else NEVER
+            self.table.note(counts.box, counts.incarnation, counts.changes, counts.windows, at)
 
-    def all_told(self, since: float) -> bool:
-        """Return whether all gateways that are there answered after a true time."""
+    def all_reported(self, since: float) -> bool:
+        """Return whether all known gateways answered a question asked after a true time."""
         with self.lock:
             return all(self.table.heard_after(name, since) for name in self._expected())
 
@@ -178,15 +186,15 @@
             return self.table.total(window)
 
     def open_at(self, pool: str) -> dict[str, float]:
-        """Return what is open at a pool by data centre, over all gateways."""
+        """Return the open requests at a pool by data centre, over all gateways."""
         total: Counter[str] = Counter()
         with self.lock:
-            for row in self.opened.values():
+            for row in self.open_by_gateway.values():
                 total.update(row.get(pool, {}))
         return dict(total)
 
     def _expected(self) -> Iterable[str]:
-        """Return the gateways that are listed, this one among them, and those heard lately."""
+        """Return the names of the gateways in the member list, and of this one."""
         listed = [one.name for one in self.peers.picture.belief.gateways()]
         return {*listed, self.peers.member.name}
 
@@ -195,7 +203,7 @@
         seen = self.table.seen(member.name, incarnation)
         return ReadUsage(*self.peers.myself, incarnation, seen, self.true_time.now())
 
-    def _take_own(self, asked_at: float) -> None:
+    def _record_own(self, asked_at: float) -> None:
         counter = self.counter
         seen = self.table.seen(counter.box, counter.incarnation)
         is_sure = self.true_time.is_sure()
@@ -203,7 +211,7 @@
         own = UsageCounts(
             counter.box, counter.incarnation, changes, windows, 0.0, counter.open(), is_sure
         )
-        self.take(own, asked_at)
+        self.record(own, asked_at)
 
 
 __all__ = ["UsageCollector", "UsageCounter"]
--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -1,4 +1,4 @@
-"""What is open at one gateway, for the size of pools that follow demand."""
+"""Counts open requests at one gateway, for pools that scale with demand."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
         self.owned = owned
 
     def open(self) -> Open:
-        """Return what is open now; nothing where no pool follows demand."""
+        """Return the open requests; nothing if no pool scales with demand."""
         belief = self.picture.belief
         configuration = belief.configuration
         if configuration is None:
             return {}
         pools = [name for name, pool in configuration.pools.items() if pool.autoscale is not None]
-        found = {name: self._calls(name, belief) for name in pools}
+        found = {name: self._open_calls(name, belief) for name in pools}
         if pools:
             self._add_samples(found, belief)
         return {name: dict(row) for name, row in found.items()}
 
-    def _calls(self, pool: str, belief: Belief) -> Counter[str]:
+    def _open_calls(self, pool: str, belief: Belief) -> Counter[str]:
         row: Counter[str] = Counter()
         for endpoint in belief.in_pool(pool):
             row[endpoint.data_centre] += self.choice.open_at(endpoint)
         return row
 
     def _add_samples(self, found: dict[str, Counter[str]], belief: Belief) -> None:
-        """Count the samples of own lots, spread over the pool's data centres."""
+        """Add the samples of owned lots, spread over the pool's data centres."""
         for lot in self.owned.open():
             route = belief.configuration.route_for(lot.book.lot.host, lot.book.lot.path)
             pool = route.shares[0].pool if route is not None else ""
@@ -51,9 +51,9 @@
             with self.owned.lock:
                 states = list(lot.book.states.values())
             wanted = sum(state.phase in (Phase.RUNNING, Phase.WAITING) for state in states)
-            places = {one.data_centre for one in belief.in_pool(pool)}
-            for place in places:
-                found[pool][place] += wanted / len(places)
+            data_centres = {one.data_centre for one in belief.in_pool(pool)}
+            for data_centre in data_centres:
+                found[pool][data_centre] += wanted / len(data_centres)
 
 
 __all__ = ["DemandCounter", "Open"]
--- a/src/threadramp/duties/duty_lock.py
+++ b/src/threadramp/duties/duty_lock.py
@@ -1,4 +1,4 @@
-"""Who holds the fleet's duties, as one gateway sees it, and its own right to them."""
+"""The lock for the fleet's duties, as one gateway sees it."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 
 
 class DutyLock:
-    """The right to the duties at one gateway.
+    """The lock for the duties at one gateway.
 
-    Its key lies beside the list of members, so that all gateways know who holds it without a call.
+    Its key has the prefix of the member list, so that all gateways know the holder without a call
+    to the store.
 
-    A call of one holder is given up long before the next one makes its first (``duty_calls``), so
-    the wait between them is the time alone in which holders may not take turns.
+    A call of one holder is given up long before the next holder makes its first (``duty_calls``),
+    so the takeover delay alone keeps the calls of two holders apart.
 
     :param box: name of this gateway
-    :param apart_s: two holders may not make calls in turns within this time
-    :param may_take: whether this gateway may take the right from another one
+    :param takeover_delay_s: two holders may not make alternating calls within this time
+    :param may_take: whether this gateway may take the lock from another one
     """
 
     def __init__(
@@ -33,29 +34,29 @@
         picture: Picture,
         store: StoreClient,
         box: str,
-        apart_s: float,
+        takeover_delay_s: float,
         clock: Clock,
         may_take: Callable[[str | None], bool],
     ) -> None:
         self.picture = picture
         self.box = box
-        # What is done under it is proven by a write of its own, or by asking the store for it.
-        self.lock = Right(store, DUTIES_KEY, box, apart_s, clock, may_take)
+        # Work under the lock is verified by a conditional write of its own, or by reading the lock.
+        self.lock = Right(store, DUTIES_KEY, box, takeover_delay_s, clock, may_take)
 
     def holder(self) -> str:
-        """Return who holds the right as far as this gateway knows, empty if nobody does."""
+        """Return the holder of the lock as known to this gateway, empty if there is none."""
         item = self.picture.members.snapshot().get(DUTIES_KEY)
         held = read_right(item.value) if item is not None else None
         return held.holder if held is not None else ""
 
-    def usable_number(self) -> int:
-        """Return the number of the right now, 0 if it may not be used."""
+    def cached_token(self) -> int:
+        """Return the fencing token, 0 if the lock may not be used now."""
         if self.lock.number and self.holder() not in ("", self.box):
-            self.lock.doubt()  # or the list of members does not show yet that it is ours
+            self.lock.doubt()  # or the member list does not show this holder yet
         return self.lock.usable_number()
 
-    def is_mine(self) -> bool:
-        """Return whether this gateway holds it as far as it knows."""
+    def is_held_here(self) -> bool:
+        """Return whether this gateway holds the lock, as far as it knows."""
         return self.holder() == self.box
 
 
--- a/src/threadramp/duties/duty_loop.py
+++ b/src/threadramp/duties/duty_loop.py
@@ -1,4 +1,4 @@
-"""The duties of one gateway: it counts, collects where that falls to it, and reports as holder."""
+"""The duty loop of a gateway, which counts, collects as a collector and reports as the holder."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
     from threadramp.fleet.peers import Peers
     from threadramp.fleet.picture import Member
 
-TURN_S = 1.0
-TURN_LEAST_S = 0.1  # between two turns, however long one took
-START_S = 2.0  # by then gateways that start together have listed themselves
+CYCLE_S = 1.0
+MIN_PAUSE_S = 0.1  # between two cycles, however long one took
+START_DELAY_S = 2.0  # by then gateways that start together are in the member list
 
 
 class DutyLoop:
-    """Takes turns at the duties.
+    """Runs the duties periodically.
 
-    :param reports: none where usage is not reported
-    :param scale: none where sizes of pools are not ordered
+    :param reports: none if usage is not reported
+    :param scale: none if sizes of pools are not ordered
     """
 
     def __init__(
         self,
         peers: Peers,
-        holding: DutyLock,
+        duty_lock: DutyLock,
         collector: UsageCollector,
         reports: UsageReports | None,
         scale: ScaleOrders | None = None,
     ) -> None:
         self.peers = peers
-        self.holding = holding
+        self.duty_lock = duty_lock
         self.collector = collector
         self.reports = reports
         self.scale = scale
@@ -51,111 +51,116 @@
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start taking turns."""
+        """Start the loop."""
         start_loop(self._run, self.stopped)
 
     def may_take(self, holder: str | None) -> bool:
-        """Return whether the right may be taken.
+        """Return whether this gateway may take the lock.
 
-        :param holder: that the store names; none as long as it was not asked
+        :param holder: holder that the store names; none if the store was not asked
         """
         if self.leaving:
             return False
         if holder is None:
-            holder = self.holding.holder()
-            if holder == self._me:  # what a process of this box took before is learned that way
+            holder = self.duty_lock.holder()
+            if holder == self._own_name:  # finds a lock taken by a previous process of this box
                 return True
-        unanswered = self.collector.unanswered
-        return may_take(self._me, holder, self._names(), unanswered, self.answered)
+        unanswered = self.collector.missed_rounds
+        return may_take(self._own_name, holder, self._names(), unanswered, self.answered)
 
     def leave(self) -> None:
-        """Hand the duties to the gateway that they fall to next; for a planned stop.
+        """Transfer the duties to the next gateway in order; for a planned stop.
 
-        Also what a process of this box took before and this one has not used yet: others wait for a
-        holder that answers them, 5 s and more while it stops.
+        This includes a lock that a previous process of this box took and this one has not used yet:
+        otherwise the others wait for a holder that still answers them, 5 s and more while it stops.
         """
-        if self.holding.is_mine():
-            self.holding.lock.usable_number()  # learns its number, if it is not known yet
+        if self.duty_lock.is_held_here():
+            self.duty_lock.lock.usable_number()  # reads the fencing token if it is not known yet
         self.leaving = True
-        if not self.holding.is_mine():
+        if not self.duty_lock.is_held_here():
             return
-        unanswered = self.collector.unanswered
-        heirs = [name for name in in_order(self._names()) if name not in unanswered]
-        heirs = [name for name in heirs if name != self._me]
+        unanswered = self.collector.missed_rounds
+        successors = [name for name in in_order(self._names()) if name not in unanswered]
+        successors = [name for name in successors if name != self._own_name]
         try:
-            self.holding.lock.give_to(heirs[0] if heirs else "")
-        except StoreError as error:  # it is taken over once this gateway does not answer
+            self.duty_lock.lock.give_to(successors[0] if successors else "")
+        except StoreError as error:  # another gateway takes over once this one does not answer
             log_state("duties_not_handed_over", error=str(error))
 
-    def turn(self) -> None:
-        """Collect, and report what is due, where that falls to this gateway."""
-        holder = self.holding.holder()
-        if not collects(self._me, holder, self._names()):
+    def run_once(self) -> None:
+        """Collect if this gateway is a collector, and report what is due if it is the holder."""
+        holder = self.duty_lock.holder()
+        if not collects(self._own_name, holder, self._names()):
             return
         self.answered = self.collector.round()
-        if self.leaving or not (self.holding.lock.number or self.may_take(None)):
+        if self.leaving or not (self.duty_lock.lock.number or self.may_take(None)):
             return
-        number = self.holding.usable_number()
-        if not number:
+        fencing_token = self.duty_lock.cached_token()
+        if not fencing_token:
             return
         try:
             if self.reports is not None:
-                self.reports.turn(number)
+                self.reports.run_once(fencing_token)
             if self.scale is not None:
-                self.scale.turn(number)
+                self.scale.run_once(fencing_token)
         except StoreError as error:
-            log_state("duty_put_off", number=number, error=str(error))
+            log_state("duties_postponed", number=fencing_token, error=str(error))
 
     def receive_final_counts(self, ask: UsageLeft) -> Done:
-        """Take what a gateway that stops counted last."""
-        self.collector.take(ask.counts, self.collector.true_time.now())
+        """Record the final counts of a gateway that stops."""
+        self.collector.record(ask.counts, self.collector.true_time.now())
         return Done()
 
     def send_final_counts(self, until: float) -> None:
-        """Tell those that collect what was counted here last; for a planned stop.
+        """Send this gateway's final counts to the collectors; for a planned stop.
 
-        Sent once, it was lost where this process or a collector was held up; nobody else has these
-        counts, and a repetition changes nothing.
+        Sent only once, they were lost when this process or a collector was stalled. No other
+        gateway has these counts, and repeating them changes nothing.
 
-        :param until: time of the clock after which it is not sent again
+        :param until: time of the clock after which they are not sent again
         """
         counter = self.collector.counter
         changes, windows = counter.changed_since(0)
         counts = UsageCounts(counter.box, counter.incarnation, changes, windows, 0.0)
         ask = UsageLeft(*self.peers.myself, counts)
-        told: set[str] = set()
+        reached: set[str] = set()
         while True:
-            waiting = {one.address: one.name for one in self._collectors() if one.name not in told}
+            waiting = {
+                one.address: one.name for one in self._collectors() if one.name not in reached
+            }
             replies = self.peers.ask_all(dict.fromkeys(waiting, ask), ASK_TIMEOUT_S)
-            told |= {waiting[address] for address in replies}
-            unanswered = set(waiting.values()) - told
+            reached |= {waiting[address] for address in replies}
+            unanswered = set(waiting.values()) - reached
             if not unanswered or self.peers.clock.now() >= until:
                 break
-            time.sleep(TURN_LEAST_S)
+            time.sleep(MIN_PAUSE_S)
         log_state(
-            "usage_left", told=sorted(told), unanswered=sorted(unanswered), changes=counts.changes
+            "final_usage_sent",
+            reached=sorted(reached),
+            unanswered=sorted(unanswered),
+            changes=counts.changes,
         )
 
     def _collectors(self) -> list[Member]:
         """Return the other gateways that collect."""
-        names = {self.holding.holder(), *in_order(self._names())[:COLLECTORS]}
+        names = {self.duty_lock.holder(), *in_order(self._names())[:COLLECTORS]}
         return [one for one in self.peers.gateways() if one.name in names]
 
     @property
-    def _me(self) -> str:
+    def _own_name(self) -> str:
         return self.peers.member.name
 
     def _names(self) -> list[str]:
         listed = [one.name for one in self.peers.picture.belief.gateways()]
-        return listed if self._me in listed else [*listed, self._me]
+        return listed if self._own_name in listed else [*listed, self._own_name]
 
     def _run(self) -> None:
-        self.stopped.wait(START_S)
+        self.stopped.wait(START_DELAY_S)
         while not self.stopped.is_set():
-            begun = self.peers.clock.now()
-            self.turn()
-            # Rounds stay a second apart where a gateway that is gone is waited for in each.
-            self.stopped.wait(max(TURN_LEAST_S, begun + TURN_S - self.peers.clock.now()))
+            started_at = self.peers.clock.now()
+            self.run_once()
+            # Keeps cycles a second apart even if each waits for a gateway that does not answer.
+            self.stopped.wait(max(MIN_PAUSE_S, started_at + CYCLE_S - self.peers.clock.now()))
 
 
 __all__ = ["DutyLoop"]
--- a/src/threadramp/duties/scale_orders.py
+++ b/src/threadramp/duties/scale_orders.py
@@ -1,4 +1,4 @@
-"""Orders how many endpoints the pools have that follow demand, while this box holds the duties."""
+"""Orders the sizes of pools that scale with demand, while this box holds the duties."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from threadramp.duties.proof import RecentProof
+from threadramp.duties.verification import RecentVerification
 from threadramp.platform.duty_calls import DutyOutcome
 from threadramp.policy.scaling import Demand, Scaling
 from threadramp.report.log import log_state
@@ -19,56 +19,57 @@
     from threadramp.platform.duty_calls import DutyCalls
     from threadramp.report.metrics import Metrics
 
-LOOK_S = 5.0  # between two decisions; an endpoint takes tens of seconds to boot
-CALLS_A_LOOK = 10  # of those that the platform takes a second from all; the rest follows
+DECISION_INTERVAL_S = 5.0  # between two decisions; an endpoint takes tens of seconds to boot
+MAX_ORDERS_PER_CYCLE = 10  # part of the calls per second that the platform takes from all callers
 
 
 class ScaleOrders:
-    """The orders of one gateway while it holds the right to the duties."""
+    """The orders of one gateway while it holds the lock for the duties."""
 
     def __init__(
         self,
-        right: Right,
+        lock: Right,
         calls: DutyCalls,
         collector: UsageCollector,
         picture: Picture,
         metrics: Metrics,
     ) -> None:
-        self.right = right
-        self.proof = RecentProof(right)
+        self.lock = lock
+        self.verification = RecentVerification(lock)
         self.calls = calls
         self.collector = collector
         self.picture = picture
         self.metrics = metrics
         self.scalings: dict[str, Scaling] = {}
-        self.number = 0
+        self.fencing_token = 0
         self.ordered: dict[tuple[str, str], int] = {}
-        self.looked_at = float("-inf")
+        self.decided_at = float("-inf")
 
-    def turn(self, number: int) -> None:
-        """Decide now and then, and order what differs from what was ordered before.
+    def run_once(self, fencing_token: int) -> None:
+        """Decide sizes at intervals, and order those that differ from the last order.
 
-        :param number: of the right, which this gateway holds
+        :param fencing_token: of the lock, which this gateway holds
         """
-        now = self.right.clock.now()
+        now = self.lock.clock.now()
         configuration = self.picture.belief.configuration
-        if configuration is None or now - self.looked_at < LOOK_S:
+        if configuration is None or now - self.decided_at < DECISION_INTERVAL_S:
             return
-        self.looked_at = now
-        if number != self.number:
-            self.ordered.clear()  # others may have ordered something else since
-            self.number = number
+        self.decided_at = now
+        if fencing_token != self.fencing_token:
+            self.ordered.clear()  # other holders may have ordered other sizes since
+            self.fencing_token = fencing_token
         orders = []
         for pool in configuration.pools.values():
             if pool.autoscale is not None:
                 orders += self._orders(pool, now)
-        for pool, data_centre, count in orders[:CALLS_A_LOOK]:
-            if not self.proof.is_there(number):
-                return  # what is left differs at the next look again
-            self._order(number, pool, data_centre, count)
+        # The rest follows at later decisions.
+        for pool, data_centre, count in orders[:MAX_ORDERS_PER_CYCLE]:
+            if not self.verification.verify(fencing_token):
+                return  # the remaining ones differ at the next decision as well
+            self._order(fencing_token, pool, data_centre, count)
 
     def _orders(self, pool: Pool, now: float) -> list[tuple[str, str, int]]:
-        """Return what differs from what was ordered before of one pool."""
+        """Return the sizes of one pool that differ from what was ordered last."""
         scaling = self.scalings.get(pool.name)
         if scaling is None or scaling.bounds != pool.autoscale:
             scaling = self.scalings[pool.name] = Scaling(pool.autoscale)
@@ -85,30 +86,30 @@
         slots = max((one.slots for one in endpoints), default=pool.slots) or 1
         busy = self.collector.open_at(pool.name)
         return {
-            name: Demand(busy.get(name, 0.0), max(count, self._booting(pool, name)), slots)
+            name: Demand(busy.get(name, 0.0), max(count, self._last_ordered(pool, name)), slots)
             for name, count in serving.items()
         }
 
-    def _booting(self, pool: Pool, data_centre: str) -> int:
+    def _last_ordered(self, pool: Pool, data_centre: str) -> int:
         return self.ordered.get((pool.name, data_centre), 0)
 
-    def _order(self, number: int, pool: str, data_centre: str, count: int) -> None:
-        may_send = partial(self.proof.still_holds, number)
-        answer = self.calls.scale(number, pool, data_centre, count, may_send)
+    def _order(self, fencing_token: int, pool: str, data_centre: str, count: int) -> None:
+        may_send = partial(self.verification.is_fresh, fencing_token)
+        answer = self.calls.scale(fencing_token, pool, data_centre, count, may_send)
         self.metrics.count("scale_order", answer.outcome.value)
         log_state(
             "scale_ordered",
             pool=pool,
             data_centre=data_centre,
             endpoints=count,
-            number=number,
+            number=fencing_token,
             outcome=answer.outcome.value,
             detail=answer.detail,
         )
         if answer.outcome is DutyOutcome.TAKEN:
             self.ordered[pool, data_centre] = count
         elif answer.outcome is DutyOutcome.OLD_NUMBER:
-            self.right.doubt()
+            self.lock.doubt()
 
 
 __all__ = ["ScaleOrders"]
--- a/src/threadramp/duties/usage_reports.py
+++ b/src/threadramp/duties/usage_reports.py
@@ -1,9 +1,9 @@
-"""Reports the usage of each window, the same to every repeat, whoever sends it.
+"""Reports the usage of each window; every retry has the same content, whichever gateway sends it.
 
-What is sent of a window is fixed in the store first, under the condition that this box holds the
-right to the duties at that moment and that nobody fixed that window before. So a window has one
-report for good, that write is at the same time the proof of holding the right, and a holder that
-comes later finds and repeats what may not have arrived.
+The report of a window is written to the store before it is sent, on the condition that this box
+holds the lock for the duties and that no report of that window is stored yet. So a window has
+exactly one report, the write also verifies the lock, and a later holder finds and resends reports
+that may not have arrived.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from threadramp.duties.proof import RecentProof
+from threadramp.duties.verification import RecentVerification
 from threadramp.platform.duty_calls import DutyOutcome
 from threadramp.platform.store_model import ABSENT, Committed, Put, StoreError, Transaction
 from threadramp.policy.usage_book import KEPT_WINDOWS
@@ -28,18 +28,18 @@
     from threadramp.policy.usage_schedule import UsageSchedule
     from threadramp.report.metrics import Metrics
 
-FIXED_PREFIX = "duty/usage/"
+REPORT_PREFIX = "duty/usage/"
 
 
 class UsageReports:
-    """The reports of one gateway while it holds the right to the duties.
+    """The reports of one gateway while it holds the lock for the duties.
 
-    :param started_at: time of the steady clock at which this process began
+    :param started_at: time of the steady clock at which this process started
     """
 
     def __init__(
         self,
-        right: Right,
+        lock: Right,
         store: StoreClient,
         calls: DutyCalls,
         collector: UsageCollector,
@@ -47,8 +47,8 @@
         true_time: TrueTime,
         metrics: Metrics,
     ) -> None:
-        self.right = right
-        self.proof = RecentProof(right)
+        self.lock = lock
+        self.verification = RecentVerification(lock)
         self.store = store
         self.calls = calls
         self.collector = collector
@@ -56,98 +56,109 @@
         self.true_time = true_time
         self.metrics = metrics
         self.started_at = true_time.clock.now()
-        self.number = 0
+        self.fencing_token = 0
         self.next_window = 0
         self.unsent: dict[int, dict[str, int]] = {}
 
-    def turn(self, number: int) -> None:
-        """Report what is to be reported now.
+    def run_once(self, fencing_token: int) -> None:
+        """Store and send the reports that are due.
 
-        :param number: of the right, which this gateway holds
+        :param fencing_token: of the lock, which this gateway holds
         :raises StoreError: if the store did not answer
         """
-        if number != self.number:
-            self._take_up(number)
-        self._fix_ready()
+        if fencing_token != self.fencing_token:
+            self._resume(fencing_token)
+        self._store_ready()
         for window in sorted(self.unsent):
             self._send(window)
 
-    def _take_up(self, number: int) -> None:
-        """Go on where the holder before may have stopped: after a window fixed, not yet sent."""
-        items = self.store.list(FIXED_PREFIX).items
+    def _resume(self, fencing_token: int) -> None:
+        """Resume where the previous holder may have stopped.
+
+        It may have stored reports without sending them.
+        """
+        items = self.store.list(REPORT_PREFIX).items
         now = self.true_time.now()
-        fixed = {int(item.key.removeprefix(FIXED_PREFIX)): _read(item.value) for item in items}
+        stored = {
+            int(item.key.removeprefix(REPORT_PREFIX)): _decode_counts(item.value) for item in items
+        }
         self.unsent = {
-            window: counts for window, counts in fixed.items() if not self._is_over(window)
+            window: counts for window, counts in stored.items() if not self._is_expired(window)
         }
-        # Others have told by now what the time is; its own clock may have been off at the start.
+        # Others have reported the time by now; the own clock may have been off at the start.
         started_at = self.true_time.at(self.started_at)
-        self.next_window = self.schedule.first(list(fixed), started_at, now)
-        self.number = number
+        self.next_window = self.schedule.first(list(stored), started_at, now)
+        self.fencing_token = fencing_token
         log_state(
-            "usage_taken_up",
-            number=number,
+            "usage_reporting_resumed",
+            number=fencing_token,
             next_window=self.next_window,
             again=sorted(self.unsent),
         )
 
-    def _fix_ready(self) -> None:
+    def _store_ready(self) -> None:
         now = self.true_time.now()
         while now >= self.schedule.settled(self.next_window):
             window = self.next_window
-            told = self.collector.all_told(self.schedule.settled(window))
-            if not self.schedule.is_ready(window, now, told):
+            all_reported = self.collector.all_reported(self.schedule.settled(window))
+            if not self.schedule.is_ready(window, now, all_reported):
                 return
-            self._fix(window, told)
+            self._store_report(window, all_reported)
 
-    def _fix(self, window: int, told: bool) -> None:
-        """Fix what is sent of a window, unless somebody did already.
+    def _store_report(self, window: int, all_reported: bool) -> None:
+        """Store the report of a window, unless one is stored already.
 
-        :raises StoreError: if that is not known
+        :raises StoreError: if it is unknown which report is stored
         """
         counts = self.collector.total(window)
-        key = f"{FIXED_PREFIX}{window}"
-        expected = {self.right.key: self.number, key: ABSENT}
-        old = f"{FIXED_PREFIX}{window - KEPT_WINDOWS}"
+        key = f"{REPORT_PREFIX}{window}"
+        expected = {self.lock.key: self.fencing_token, key: ABSENT}
+        old = f"{REPORT_PREFIX}{window - KEPT_WINDOWS}"
         put = Put(key, msgspec.msgpack.encode(counts))
-        asked_at = self.right.clock.now()
+        asked_at = self.lock.clock.now()
         answer = self.store.transact(Transaction(expected, (put,), (old,)), repeatable=True)
         if isinstance(answer, Committed):
-            self.proof.note(self.number, asked_at)
+            self.verification.record(self.fencing_token, asked_at)
         else:
             found = answer.current.get(key)
             if found is None:
-                self.right.doubt()
-                raise StoreError(f"the right {self.number} is another's by now")
-            counts = _read(found.value)  # our own write whose answer was lost, or another holder's
+                self.lock.doubt()
+                raise StoreError(
+                    f"the duty lock with token {self.fencing_token} is held by another gateway now"
+                )
+            # Stored by our own write whose answer was lost, or by another holder.
+            counts = _decode_counts(found.value)
         log_state(
-            "usage_fixed",
+            "usage_report_stored",
             window=window,
-            number=self.number,
+            number=self.fencing_token,
             organisations=len(counts),
             requests=sum(counts.values()),
-            all_told=told,
+            all_reported=all_reported,
             late_s=round(self.true_time.now() - self.schedule.end(window), 2),
         )
         self.unsent[window] = counts
         self.next_window = window + 1
 
     def _send(self, window: int) -> None:
-        """Send a window's report, if the right is proven; what is not taken is sent again."""
-        if self._is_over(window):
-            log_state("usage_given_up", window=window, number=self.number)
+        """Send a window's report if the lock is verified; it is retried until it is taken."""
+        if self._is_expired(window):
+            log_state("usage_report_expired", window=window, number=self.fencing_token)
             self.metrics.count("usage_report", "given up")
             del self.unsent[window]
             return
-        if not self.proof.is_there(self.number):
+        if not self.verification.verify(self.fencing_token):
             return
         answer = self.calls.usage(
-            self.number, window, self.unsent[window], partial(self.proof.still_holds, self.number)
+            self.fencing_token,
+            window,
+            self.unsent[window],
+            partial(self.verification.is_fresh, self.fencing_token),
         )
         log_state(
-            "usage_sent",
+            "usage_report_sent",
             window=window,
-            number=self.number,
+            number=self.fencing_token,
             outcome=answer.outcome.value,
             detail=answer.detail,
         )
@@ -155,14 +166,14 @@
         if answer.outcome is DutyOutcome.TAKEN:
             del self.unsent[window]
         elif answer.outcome is DutyOutcome.OLD_NUMBER:
-            self.right.doubt()
+            self.lock.doubt()
 
-    def _is_over(self, window: int) -> bool:
+    def _is_expired(self, window: int) -> bool:
         return self.schedule.is_over(window, self.true_time.now())
 
 
-def _read(value: bytes) -> dict[str, int]:
+def _decode_counts(value: bytes) -> dict[str, int]:
     return msgspec.msgpack.decode(value, type=dict[str, int])
 
 
-__all__ = ["FIXED_PREFIX", "UsageReports"]
+__all__ = ["REPORT_PREFIX", "UsageReports"]
--- a/tests/duties/test_collecting.py
+++ b/tests/duties/test_collecting.py
@@ -15,7 +15,7 @@
 
 
 class Others:
-    """One other gateway, which answers or not."""
+    """One other gateway, which may not answer."""
 
     def __init__(self, clock, counter) -> None:
         self.clock = clock
@@ -54,7 +54,7 @@
     return UsageCollector(peers, UsageCounter(WINDOW_S, true_time, "me", "i1"), true_time)
 
 
-def test_counts_of_both_come_together(clock, collector, other):
+def test_counts_of_both_gateways_are_added(clock, collector, other):
     window = collector.counter.book.window_at(collector.true_time.now())
     collector.counter.count_sent("acme", clock.now())
     other.count_sent("acme", clock.now())
@@ -64,32 +64,32 @@
     assert collector.total(window) == {"acme": 2}
 
 
-def test_one_that_does_not_answer_is_missed(clock, collector, peers):
+def test_a_gateway_that_does_not_answer_is_missed(clock, collector, peers):
     clock.at += SURE_S
     since = collector.true_time.now() - 1.0
     collector.round()
-    assert collector.all_told(since)
+    assert collector.all_reported(since)
     peers.answers = False
     clock.at += 5.0
     for rounds in (1, 2):
         collector.round()
-        assert collector.unanswered == {"other": rounds}
-    assert not collector.all_told(since + 5.0)
+        assert collector.missed_rounds == {"other": rounds}
+    assert not collector.all_reported(since + 5.0)
 
 
 def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collector, other):
-    """It kept all of them: only the holder forgot, by what it had reported."""
+    """It kept all of them: only the holder dropped windows, depending on its reports."""
     for _ in range(4 * KEPT_WINDOWS):
         other.count_sent("acme", clock.now())
         collector.round()
         clock.at += WINDOW_S
-    kept = {window for told in collector.table.told.values() for window in told.windows}
-    assert len(kept) <= KEPT_WINDOWS + 1
+    windows = {window for reported in collector.table.told.values() for window in reported.windows}
+    assert len(windows) <= KEPT_WINDOWS + 1
 
 
 @pytest.mark.parametrize("ahead", [-7.0, 7.0])
-def test_what_was_counted_before_the_time_was_known_is_counted_where_it_belongs(clock, ahead):
-    """A box serves calls at once, and hears from others only later that its clock is off."""
+def test_requests_counted_before_the_time_was_known_move_to_their_windows(clock, ahead):
+    """A box serves calls at once, and learns from others only later that its clock is off."""
     counter = counter_of_a_box_that_is(ahead, clock)
     window = counter.book.window_at(clock.time_of_day())
     for _ in range(3):
@@ -97,10 +97,10 @@
     counter.uncount("acme", clock.now())
     clock.at += 0.5
     assert not counter.answer(ask_of("first", clock)).is_sure
-    told = counter.answer(ask_of("second", clock))
-    assert told.is_sure
-    assert told.windows[window] == {"acme": 2}
-    assert told.windows.get(counter.book.window_at(clock.time_of_day() + ahead), {}) == {}
+    reported = counter.answer(ask_of("second", clock))
+    assert reported.is_sure
+    assert reported.windows[window] == {"acme": 2}
+    assert reported.windows.get(counter.book.window_at(clock.time_of_day() + ahead), {}) == {}
 
 
 def counter_of_a_box_that_is(ahead: float, clock) -> UsageCounter:
@@ -116,7 +116,7 @@
 
 
 def test_a_collector_whose_own_clock_was_ahead_waits_for_answers_as_any_other(clock, peers):
-    """It took what others told before a window was settled for all of it."""
+    """It took counts reported before a window was settled for the complete counts."""
     truth = clock.time_of_day
     clock.time_of_day = lambda: truth() + 7.0
     true_time = TrueTime(clock)
@@ -131,17 +131,17 @@
     peers.ask_all = asked_all
     clock.at += SURE_S
     collector.round()
-    assert not collector.all_told(truth() + 1.0)
+    assert not collector.all_reported(truth() + 1.0)
     clock.at += 1.1
     collector.round()
-    assert collector.all_told(truth() - 0.1)
+    assert collector.all_reported(truth() - 0.1)
 
 
-def test_an_answer_of_one_that_may_still_move_requests_is_not_waited_for_in_vain(clock, collector):
-    """Two gateways alone never hear of a third; after a while what they tell counts."""
+def test_counts_of_two_gateways_without_a_third_are_final_after_a_while(clock, collector):
+    """Two gateways alone never hear from a third; after a while their counts are accepted."""
     since = collector.true_time.now() - 0.1
     collector.round()
-    assert not collector.all_told(since)
+    assert not collector.all_reported(since)
     clock.at += SURE_S
     collector.round()
-    assert collector.all_told(since)
+    assert collector.all_reported(since)
--- a/tests/duties/test_duty_loop.py
+++ b/tests/duties/test_duty_loop.py
@@ -1,4 +1,4 @@
-"""The turns that a gateway takes at the duties, and how it leaves them."""
+"""The duty loop of a gateway, and how it leaves."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 NAMES = ("front-0", "front-1", "front-2")
 
 
-class Holding:
+class FakeDutyLock:
     def __init__(self, store, box, clock, duties):
         self.store = store
         self.box = box
@@ -23,16 +23,16 @@
         item = self.store.items.get(KEY)
         return read_right(item.value).holder if item is not None else ""
 
-    def is_mine(self):
+    def is_held_here(self):
         return self.holder() == self.box
 
-    def usable_number(self):
+    def cached_token(self):
         return self.lock.usable_number()
 
 
-class Collecting:
+class FakeCollector:
     def __init__(self):
-        self.unanswered = {}
+        self.missed_rounds = {}
         self.rounds = 0
 
     def round(self):
@@ -40,8 +40,8 @@
         return len(NAMES) - 1
 
 
-class Fleet:
-    """All gateways are listed."""
+class FakePeers:
+    """All gateways are in the member list."""
 
     def __init__(self, box, clock):
         self.member = Member(box, "gateway", "i", "10.0.0.1:1", "a", "")
@@ -60,50 +60,50 @@
 
 def gateway(box, store, clock) -> DutyLoop:
     made = []
-    holding = Holding(store, box, clock, lambda: made[0])
-    made.append(DutyLoop(Fleet(box, clock), holding, Collecting(), None))
+    duty_lock = FakeDutyLock(store, box, clock, lambda: made[0])
+    made.append(DutyLoop(FakePeers(box, clock), duty_lock, FakeCollector(), None))
     return made[0]
 
 
 def first_holder(store, clock) -> DutyLoop:
-    """Return the gateway that takes the duties where nobody has them."""
+    """Return the gateway that takes the lock when nobody holds it."""
     for name in NAMES:
         one = gateway(name, store, clock)
         one.answered = len(NAMES) - 1
-        one.turn()
-        if one.holding.lock.number:
+        one.run_once()
+        if one.duty_lock.lock.number:
             return one
-    raise AssertionError("nobody took them")
+    raise AssertionError("no gateway took the lock")
 
 
-def test_a_holder_that_stops_names_its_heir(store, clock):
+def test_a_holder_that_stops_names_its_successor(store, clock):
     one = first_holder(store, clock)
     one.leave()
-    assert one.holding.holder() in set(NAMES) - {one.holding.box}
+    assert one.duty_lock.holder() in set(NAMES) - {one.duty_lock.box}
 
 
-def test_a_holder_that_had_just_started_again_names_its_heir_too(store, clock):
-    """Seen in a soak: no window was reported, or one in 25 s.
+def test_a_holder_that_had_just_restarted_names_its_successor_too(store, clock):
+    """In a soak test no window was reported, or one in 25 s.
 
-    A holder was killed, started again, and was asked to stop before its first turn. It did not know
-    the number of its right yet, handed nothing over, and answered the others for the 5 s of its
-    stop, so that nobody took the duties from it before.
+    A holder was killed, restarted, and stopped before its first cycle. It had not read its fencing
+    token yet, so it transferred nothing, and it answered the others during the 5 s of its stop, so
+    that nobody took the duties over earlier.
     """
-    box = first_holder(store, clock).holding.box
+    box = first_holder(store, clock).duty_lock.box
     again = gateway(box, store, clock)
     again.leave()
-    assert again.holding.holder() in set(NAMES) - {box}
+    assert again.duty_lock.holder() in set(NAMES) - {box}
 
 
-def test_one_that_leaves_takes_nothing(store, clock):
+def test_a_leaving_gateway_does_not_take_the_lock(store, clock):
     one = first_holder(store, clock)
     one.leave()
-    one.turn()
-    assert one.holding.holder() != one.holding.box
-    assert one.holding.lock.number == 0
+    one.run_once()
+    assert one.duty_lock.holder() != one.duty_lock.box
+    assert one.duty_lock.lock.number == 0
 
 
-class Counting:
+class FakeCounter:
     box = "front-0"
     incarnation = "i"
 
@@ -111,8 +111,8 @@
         return 3, {7: {"acme": 2}}
 
 
-class HeldUpPeers(Fleet):
-    """Answers nothing to its first questions, each of which takes half a second."""
+class SlowPeers(FakePeers):
+    """Leaves its first questions unanswered, each of which takes half a second."""
 
     myself = ("front-0", 1.0)
 
@@ -132,21 +132,24 @@
 
 
 def stopping(store, clock, unanswered: int) -> DutyLoop:
-    holding = Holding(store, "front-0", clock, lambda: None)
-    holding.holder = lambda: "front-2"  # its heir; front-1 collects beside it
-    collector = Collecting()
-    collector.counter = Counting()
-    return DutyLoop(HeldUpPeers(clock, unanswered), holding, collector, None)
+    duty_lock = FakeDutyLock(store, "front-0", clock, lambda: None)
+    duty_lock.holder = lambda: "front-2"  # its successor; front-1 collects as well
+    collector = FakeCollector()
+    collector.counter = FakeCounter()
+    return DutyLoop(SlowPeers(clock, unanswered), duty_lock, collector, None)
 
 
-def test_last_counts_are_told_until_each_collector_answered(store, clock):
-    """Told once, they were lost where a process was held up; a report lacked one request of six."""
+def test_final_counts_are_sent_until_each_collector_answered(store, clock):
+    """Sent once, they were lost when a process was stalled.
+
+    A report lacked one request of six.
+    """
     one = stopping(store, clock, 2)
     one.send_final_counts(clock.at + 60.0)
     assert [len(asked) for asked in one.peers.asked] == [2, 2, 2, 1]
 
 
-def test_last_counts_are_not_told_for_longer_than_the_stop_may_take(store, clock):
+def test_final_counts_are_not_sent_for_longer_than_the_stop_may_take(store, clock):
     one = stopping(store, clock, 99)
     until = clock.at + 1.2
     one.send_final_counts(until)
--- a/tests/duties/test_usage_reports.py
+++ b/tests/duties/test_usage_reports.py
@@ -1,4 +1,4 @@
-"""One report a window for good: fixed before it is sent, repeated exactly, under rising numbers."""
+"""Usage reports: stored before they are sent, repeated exactly, with rising fencing tokens."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from tests.conftest import FakeClock
 from tests.stores import MemoryStore
-from threadramp.duties.proof import PROVEN_S
-from threadramp.duties.usage_reports import FIXED_PREFIX, UsageReports
+from threadramp.duties.usage_reports import REPORT_PREFIX, UsageReports
+from threadramp.duties.verification import VERIFICATION_TTL_S
 from threadramp.fleet.rights import Right
 from threadramp.platform.duty_calls import DutyAnswer, DutyCalls, DutyOutcome
 from threadramp.platform.standins.cloud import PlatformCloud
@@ -27,7 +27,7 @@
 
 
 class Cloud:
-    """What takes the calls, and checks what must hold of all of them."""
+    """Takes the calls and checks the invariants over all of them."""
 
     def __init__(self) -> None:
         self.rows: list[tuple[str, int, int, dict]] = []
@@ -60,7 +60,7 @@
         assert all(len(boxes) == 1 for boxes in holders.values())
 
 
-class Served:
+class ServedCloud:
     """An interface on real sockets, which takes the calls as the platform does."""
 
     def __init__(self, serve) -> None:
@@ -72,13 +72,13 @@
 
 
 class Collected:
-    """Counts as this gateway has collected them."""
+    """Counts as collected by this gateway."""
 
     def __init__(self) -> None:
         self.windows: dict[int, Counter] = {}
         self.told = True
 
-    def all_told(self, since):
+    def all_reported(self, since):
         return self.told
 
     def total(self, window):
@@ -87,25 +87,25 @@
 
 class Gateway:
     def __init__(self, box: str, store: MemoryStore, cloud: Cloud, clock: FakeClock) -> None:
-        self.right = Right(store, "member/.duties", box, APART_S, clock)
-        self.collected = Collected()
+        self.lock = Right(store, "member/.duties", box, APART_S, clock)
+        self.collector = Collected()
         schedule = UsageSchedule(WINDOW_S, 10.0)
         self.true_time = TrueTime(clock)
         self.reports = UsageReports(
-            self.right,
+            self.lock,
             store,
             cloud.caller(box),
-            self.collected,
+            self.collector,
             schedule,
             self.true_time,
             Metrics("t"),
         )
 
-    def turn(self) -> None:
-        number = self.right.usable_number()
+    def run_once(self) -> None:
+        number = self.lock.usable_number()
         if number:
             try:
-                self.reports.turn(number)
+                self.reports.run_once(number)
             except StoreError:
                 return
 
@@ -125,7 +125,7 @@
 
 
 def pass_window(clock: FakeClock) -> int:
-    """Let the window end that is open now; returns its number."""
+    """Advance the clock past the end of the current window; returns the window's number."""
     window = window_at(clock)
     clock.at = (window + 1) * WINDOW_S - BOOT + SETTLE_S + 0.01
     return window
@@ -133,13 +133,13 @@
 
 def test_each_window_is_reported_once_also_one_without_any_request(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
+    one.run_once()
     first = window_at(clock)
-    one.collected.windows[first] = Counter(acme=3)
+    one.collector.windows[first] = Counter(acme=3)
     for _ in range(3):
         pass_window(clock)
-        one.turn()
-        one.turn()
+        one.run_once()
+        one.run_once()
     assert [row[2:] for row in cloud.rows] == [
         (first, {"acme": 3}),
         (first + 1, {}),
@@ -148,10 +148,8 @@
 
 
 @pytest.mark.parametrize("ahead", [-7.0, 7.0])
-def test_the_first_window_is_that_in_which_it_began_whatever_its_own_clock_said(
-    store, cloud, clock, ahead
-):
-    """It took the time of its start for true, before it had heard of others what the time was."""
+def test_the_first_window_is_that_of_the_start_despite_a_wrong_clock(store, cloud, clock, ahead):
+    """It trusted its clock at the start, before other gateways had reported the time."""
     truth = clock.time_of_day
     clock.time_of_day = lambda: truth() + ahead
     one = Gateway("one", store, cloud, clock)
@@ -160,84 +158,84 @@
     clock.at += 1.0
     for other in ("two", "three"):
         one.true_time.note(other, truth(), clock.now())
-    one.turn()
+    one.run_once()
     pass_window(clock)
-    one.turn()
+    one.run_once()
     assert [row[2] for row in cloud.rows] == [first]
 
 
 def test_a_window_costs_one_call_to_the_store(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
+    one.run_once()
     before = store.calls
     for _ in range(10):
         pass_window(clock)
-        one.turn()
+        one.run_once()
     assert store.calls - before == 10
-    assert len([key for key in store.items if key.startswith(FIXED_PREFIX)]) <= 12
+    assert len([key for key in store.items if key.startswith(REPORT_PREFIX)]) <= 12
 
 
-def test_nothing_is_sent_before_all_told_or_the_wait_is_over(store, cloud, clock):
+def test_nothing_is_sent_before_all_reported_or_the_wait_is_over(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
-    one.collected.told = False
+    one.run_once()
+    one.collector.told = False
     pass_window(clock)
-    one.turn()
+    one.run_once()
     assert cloud.rows == []
     clock.at += 6.5
-    one.turn()
+    one.run_once()
     assert len(cloud.rows) == 1
 
 
 @pytest.mark.parametrize("outcome", [DutyOutcome.TURNED_AWAY, DutyOutcome.NOT_SENT])
-def test_what_was_not_taken_is_sent_again_as_it_was_fixed(store, cloud, clock, outcome):
+def test_a_report_that_was_not_taken_is_sent_again_as_stored(store, cloud, clock, outcome):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
+    one.run_once()
     window = pass_window(clock)
-    one.collected.windows[window] = Counter(acme=1)
+    one.collector.windows[window] = Counter(acme=1)
     cloud.outcome = outcome
-    one.turn()
-    one.collected.windows[window] = Counter(acme=2)  # a late answer changes nothing any more
+    one.run_once()
+    one.collector.windows[window] = Counter(acme=2)  # a late answer no longer matters
     cloud.outcome = DutyOutcome.TAKEN
     clock.at += 1.0
-    one.turn()
-    assert cloud.rows == [("one", one.right.number, window, {"acme": 1})]
+    one.run_once()
+    assert cloud.rows == [("one", one.lock.number, window, {"acme": 1})]
 
 
 def test_an_unanswered_call_is_repeated_exactly(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
+    one.run_once()
     window = pass_window(clock)
-    one.collected.windows[window] = Counter(acme=1)
+    one.collector.windows[window] = Counter(acme=1)
     cloud.loses = True
-    one.turn()
+    one.run_once()
     cloud.loses = False
     clock.at += 1.0
-    one.turn()
+    one.run_once()
     assert [row[2:] for row in cloud.rows] == [(window, {"acme": 1})] * 2
     cloud.check()
 
 
-def test_an_unanswered_write_is_found_as_it_was_fixed(store, cloud, clock):
+def test_an_unanswered_write_is_found_as_it_was_stored(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
+    one.run_once()
     window = pass_window(clock)
-    one.collected.windows[window] = Counter(acme=1)
+    one.collector.windows[window] = Counter(acme=1)
     store.loses = True
-    one.turn()
+    one.run_once()
     assert cloud.rows == []
     store.loses = False
-    one.collected.windows[window] = Counter(acme=5)
-    one.turn()
+    one.collector.windows[window] = Counter(acme=5)
+    one.run_once()
     assert [row[2:] for row in cloud.rows] == [(window, {"acme": 1})]
 
 
-def test_a_write_that_is_done_late_changes_no_report(store, cloud, clock):
-    """Its answer never came, so the holder fixed the window again, with what it knew by then."""
+def test_a_late_write_changes_no_report(store, cloud, clock):
+    """The write was not answered, so the holder stored the window again, with newer counts."""
     one, two = Gateway("one", store, cloud, clock), Gateway("two", store, cloud, clock)
-    one.turn()
+    one.run_once()
     window = pass_window(clock)
-    one.collected.windows[window] = Counter(acme=1)
+    one.collector.windows[window] = Counter(acme=1)
     transact = store.transact
     late = []
 
@@ -246,102 +244,100 @@
         raise StoreUnknownError("no answer")
 
     store.transact = lost
-    one.turn()
+    one.run_once()
     store.transact = transact
-    one.collected.windows[window] = Counter(acme=2)
-    one.turn()
+    one.collector.windows[window] = Counter(acme=2)
+    one.run_once()
     transact(late[0])
-    two.turn()
+    two.run_once()
     clock.at += APART_S
-    two.turn()
+    two.run_once()
     assert [row[3] for row in cloud.rows] == [{"acme": 2}] * 2
     cloud.check()
 
 
-def test_the_next_holder_repeats_what_was_fixed_and_perhaps_not_sent(store, cloud, clock):
+def test_the_next_holder_repeats_what_was_stored_and_perhaps_not_sent(store, cloud, clock):
     one, two = Gateway("one", store, cloud, clock), Gateway("two", store, cloud, clock)
-    one.turn()
+    one.run_once()
     window = pass_window(clock)
-    one.collected.windows[window] = Counter(acme=4)
+    one.collector.windows[window] = Counter(acme=4)
     cloud.outcome = DutyOutcome.NOT_SENT
-    one.turn()  # fixed, and then it is gone
+    one.run_once()  # stores the report, then fails
     cloud.outcome = DutyOutcome.TAKEN
-    two.turn()
+    two.run_once()
     clock.at += APART_S
-    two.turn()
+    two.run_once()
     assert [(box, window, counts) for box, _, window, counts in cloud.rows] == [
         ("two", window, {"acme": 4})
     ]
 
 
-def test_a_holder_that_stood_still_sends_nothing_once_another_holds_the_right(store, cloud, clock):
-    """A freeze between the write and the call: the proof of the right is old by then."""
+def test_a_suspended_holder_sends_nothing_once_another_holds_the_lock(store, cloud, clock):
+    """It is suspended between the write and the call, so the verification is old by then."""
     one, two = Gateway("one", store, cloud, clock), Gateway("two", store, cloud, clock)
-    one.turn()
+    one.run_once()
     pass_window(clock)
     transact = store.transact
 
     def frozen(transaction, repeatable=False):
         store.transact = transact
         answer = transact(transaction, repeatable)
-        clock.at += PROVEN_S + APART_S
-        two.turn()
+        clock.at += VERIFICATION_TTL_S + APART_S
+        two.run_once()
         clock.at += APART_S
-        two.turn()
+        two.run_once()
         return answer
 
     store.transact = frozen
-    one.turn()
+    one.run_once()
     assert {row[0] for row in cloud.rows} == {"two"}
     cloud.check()
 
 
-def test_a_holder_that_stands_still_while_it_connects_sends_nothing_old(
-    store, serve, clock, monkeypatch
-):
-    """The proof of the right was fresh when the call was begun, not when its bytes were sent."""
-    cloud = Served(serve)
+def test_a_holder_suspended_while_it_connects_sends_nothing_old(store, serve, clock, monkeypatch):
+    """The verification was recent when the call was started, not when its bytes were sent."""
+    cloud = ServedCloud(serve)
     one, two = Gateway("one", store, cloud, clock), Gateway("two", store, cloud, clock)
-    one.turn()
+    one.run_once()
     pass_window(clock)
     connect = socket.socket.connect
 
     def frozen(self, address):
         connect(self, address)
         monkeypatch.setattr(socket.socket, "connect", connect)
-        clock.at += PROVEN_S + APART_S
-        two.turn()
+        clock.at += VERIFICATION_TTL_S + APART_S
+        two.run_once()
         clock.at += APART_S
-        two.turn()
+        two.run_once()
 
     monkeypatch.setattr(socket.socket, "connect", frozen)
-    one.turn()
+    one.run_once()
     assert {row["holder"] for row in cloud.platform.taken} == {"two"}
     assert cloud.platform.broken(APART_S) == []
 
 
-def test_a_deposed_holder_fixes_nothing(store, cloud, clock):
+def test_a_deposed_holder_stores_no_report(store, cloud, clock):
     one, two = Gateway("one", store, cloud, clock), Gateway("two", store, cloud, clock)
-    one.turn()
-    two.right.usable_number()
+    one.run_once()
+    two.lock.usable_number()
     window = pass_window(clock)
-    one.collected.windows[window] = Counter(acme=1)
-    one.turn()
-    assert not any(key.startswith(FIXED_PREFIX) for key in store.items)
+    one.collector.windows[window] = Counter(acme=1)
+    one.run_once()
+    assert not any(key.startswith(REPORT_PREFIX) for key in store.items)
     assert cloud.rows == []
 
 
-def test_a_report_that_nobody_wants_any_more_is_given_up(store, cloud, clock):
+def test_an_expired_report_is_given_up(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
-    one.turn()
+    one.run_once()
     cloud.outcome = DutyOutcome.TURNED_AWAY
     pass_window(clock)
-    one.turn()
+    one.run_once()
     clock.at += 10.0 + KEEP_TRYING_S + 1.0
-    one.collected.told = False
-    one.turn()
+    one.collector.told = False
+    one.run_once()
     cloud.outcome = DutyOutcome.TAKEN
-    one.turn()
+    one.run_once()
     assert all(row[2] > window_at(clock) - 10 for row in cloud.rows)
 
 
@@ -360,16 +356,16 @@
 
 @settings(deadline=None)
 @given(steps)
-def test_whatever_fails_a_window_has_one_report_and_numbers_rise(rows):
+def test_whatever_fails_a_window_has_one_report_and_fencing_tokens_rise(rows):
     clock, store, cloud = FakeClock(), MemoryStore(), Cloud()
     boxes = [Gateway(f"box-{n}", store, cloud, clock) for n in range(3)]
     for place, what, seconds in rows:
         box = boxes[place]
         if what == "turn":
-            box.turn()
+            box.run_once()
         elif what == "request":
-            for other in boxes[: place + 1]:  # not all of them have heard of it
-                other.collected.windows.setdefault(window_at(clock), Counter())["acme"] += 1
+            for other in boxes[: place + 1]:  # not all of them have been told
+                other.collector.windows.setdefault(window_at(clock), Counter())["acme"] += 1
         elif what == "kill":
             boxes[place] = Gateway(f"box-{place}", store, cloud, clock)
         elif what == "store away":
@@ -383,7 +379,7 @@
             cloud.outcome = DutyOutcome.TURNED_AWAY if taken else DutyOutcome.TAKEN
         else:
             try:
-                box.right.give_to(f"box-{(place + 1) % 3}")
+                box.lock.give_to(f"box-{(place + 1) % 3}")
             except StoreError:
                 continue
         clock.at += seconds
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -328,18 +328,19 @@
     ),
     Removal.of_one(
         "what is reported is fixed first",
-        "write_that_is_done_late_changes_no_report",
+        "late_write_changes_no_report",
         REPORTS,
         "key: ABSENT}",
         "}",
     ),
     Removal(
         "the proof of the right before each call",
-        "holder_that_stood_still_sends_nothing",
+        "suspended_holder_sends_nothing",
         (
             Edit(
                 REPORTS,
-                "        if not self.proof.is_there(self.number):\n            return\n",
+                "        if not self.verification.verify(self.fencing_token):\n"
+                "            return\n",
                 "",
             ),
             Edit(LATE_BYTES, "    if not may_send():\n", "    if False:\n"),
