--- a/src/threadramp/lots/audit.py
+++ b/src/threadramp/lots/audit.py
@@ -189,4 +189,4 @@
     return rendezvous(stored.lot_id, scanners_for(stored.head.owner, live))[0]
 
 
-__all__ = ["LotAudit", "successor_of", "is_scan_due", "scanners_for", "periodic_scanners"]
+__all__ = ["LotAudit", "is_scan_due", "periodic_scanners", "scanners_for", "successor_of"]
--- a/src/threadramp/lots/journal.py
+++ b/src/threadramp/lots/journal.py
@@ -50,7 +50,7 @@
 
 
 class NotOwnerError(Exception):
-    """The head of the lot was changed by another gateway, which owns the lot now.
+    """Another gateway owns the lot now, or has changed its head.
 
     :param head: the head that the store has
     """
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -134,9 +134,8 @@
         me = self.peers.member
         head = stored_lot.stored.head
         if (head.owner, head.incarnation) == (me.name, me.incarnation):
-            self._resume(
-                stored_lot, "a gateway that stops", False, {}
-            )  # that gateway has released it
+            # The previous owner has released the lot, so it does not count as another owner.
+            self._resume(stored_lot, "a gateway that stops", False, {})
 
     def take_over(self, stored: StoredHead) -> None:
         """Take over an orphaned lot, from what the store has of it.
--- a/src/threadramp/lots/reading.py
+++ b/src/threadramp/lots/reading.py
@@ -117,8 +117,8 @@
 
         A gateway may answer that there is no result at a position only if its ownership is
         confirmed: another gateway may have taken the lot over without its knowledge and have
-        answered readers with a result at that position. The store is read at most once per
-        ``OWNERSHIP_CHECK_S``, since reads are billed.
+        answered readers with a result at that position. While the store has no such result, it is
+        read at most once per ``OWNERSHIP_CHECK_S``.
 
         :raises LotUnknownError: if there is no such lot
         :raises StoreError: if the store did not answer
--- a/src/threadramp/lots/scoped_ids.py
+++ b/src/threadramp/lots/scoped_ids.py
@@ -44,4 +44,4 @@
     return "#" + sha256(organisation.encode()).hexdigest()[:32]  # percent-encoding leaves no #
 
 
-__all__ = ["unscoped_id", "is_valid_id", "scoped_id"]
+__all__ = ["is_valid_id", "scoped_id", "unscoped_id"]
