--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -44,12 +44,12 @@
     def _add_samples(self, found: dict[str, Counter[str]], belief: Belief) -> None:
         """Add the samples of owned lots, spread over the pool's data centres."""
         for lot in self.owned.open():
-            route = belief.configuration.route_for(lot.book.lot.host, lot.book.lot.path)
+            route = belief.configuration.route_for(lot.tracker.lot.host, lot.tracker.lot.path)
             pool = route.shares[0].pool if route is not None else ""
             if pool not in found:
                 continue
             with self.owned.lock:
-                states = list(lot.book.states.values())
+                states = list(lot.tracker.states.values())
             wanted = sum(state.phase in (Phase.RUNNING, Phase.WAITING) for state in states)
             data_centres = {one.data_centre for one in belief.in_pool(pool)}
             for data_centre in data_centres:
--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -59,8 +59,8 @@
             now = self.clock.now()
             for lot in self.owned.open():
                 with self.owned.lock:
-                    expired = lot.book.give_up_late(now)
-                    chunk = lot.book.next_chunk(now)
+                    expired = lot.tracker.give_up_late(now)
+                    chunk = lot.tracker.next_chunk(now)
                 if expired:
                     log_state("samples_expired", lot=lot.lot_id, samples=expired)
                 if chunk:
@@ -78,11 +78,11 @@
             log_state("append_failed", lot=lot.lot_id, results=len(chunk), error=str(error))
             self.stopped.wait(RETRY_PAUSE_S)
             with self.owned.lock:
-                lot.book.append_failed()
+                lot.tracker.append_failed()
         except Exception as error:  # the thread pool would discard it
             log_state("append_error", lot=lot.lot_id, error=repr(error))
             with self.owned.lock:
-                lot.book.append_failed()
+                lot.tracker.append_failed()
         else:
             self._record_listed(lot, stored, chunk, started)
 
@@ -92,7 +92,7 @@
         with self.owned.lock:
             lot.ownership_confirmed_at = started
             lot.stored = stored
-            lot.book.appended(chunk)
+            lot.tracker.appended(chunk)
             self.owned.notify_readers()
         for result in chunk:
             self.metrics.count("listed", result.state.value)
@@ -108,7 +108,7 @@
 
     def _versions_behind(self, lot: OwnedLot, chunk: tuple[Result, ...]) -> list[int]:
         """Count how far the oldest version in each text is behind the newest published one."""
-        newest = self.newest_version(lot.book.lot.model)
+        newest = self.newest_version(lot.tracker.lot.model)
         behind = [max(0, newest - min(result.versions)) for result in chunk if result.versions]
         for versions in behind:
             self.metrics.count("versions_behind", str(versions))
--- a/src/threadramp/lots/checkpoints.py
+++ b/src/threadramp/lots/checkpoints.py
@@ -109,7 +109,7 @@
         saved = self.saved.setdefault(lot.lot_id, {})
         records: list[SavedText] = []
         size = 0
-        for name, state in lot.book.states.items():
+        for name, state in lot.tracker.states.items():
             if not state.is_open or len(state.events) < MIN_EVENTS:
                 continue
             events, base = saved.get(name, (state.events, 0))
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -79,7 +79,7 @@
 
     def _postpone(self, lot: OwnedLot, sample: str, ruling: Ruling, now: float) -> None:
         with self.owned.lock:
-            lot.book.put_off(sample, now + min(MAX_HOLD_S, ruling.again_s))
+            lot.tracker.put_off(sample, now + min(MAX_HOLD_S, ruling.again_s))
 
     def _isolating_runners(self) -> set[str]:
         """Return the runners at which an isolated suspect runs."""
@@ -92,7 +92,7 @@
         return set(self.isolated)
 
     def _fingerprint(self, lot: OwnedLot, sample: str) -> bytes:
-        return sample_fingerprint(lot.book.lot, lot.book.states[sample].sample)
+        return sample_fingerprint(lot.tracker.lot, lot.tracker.states[sample].sample)
 
 
 def sample_fingerprint(lot: Lot, sample: Sample) -> bytes:
@@ -103,8 +103,8 @@
 
 
 def _is_running_at(lot: OwnedLot, sample: str, runner: str) -> bool:
-    state = lot.book.states[sample]
-    return not lot.book.ended and state.phase is Phase.RUNNING and state.runner == runner
+    state = lot.tracker.states[sample]
+    return not lot.tracker.ended and state.phase is Phase.RUNNING and state.runner == runner
 
 
 __all__ = ["SampleCrashGuard", "sample_fingerprint"]
--- a/src/threadramp/lots/dispatcher.py
+++ b/src/threadramp/lots/dispatcher.py
@@ -81,7 +81,7 @@
         """Tell the sidecars that the samples of a lot are no longer needed."""
         for view in list(self.views.values()):
             with self.owned.lock:
-                known_events = lot.book.at_runner(view.member.name)
+                known_events = lot.tracker.at_runner(view.member.name)
             if known_events:
                 self._drop(view, known_events, let_finish)
 
@@ -99,7 +99,7 @@
 
     def _refresh_views(self) -> None:
         """Keep one view and one collector for each sidecar that may run samples of owned lots."""
-        models = {lot.book.lot.model for lot in self.owned.open()}
+        models = {lot.tracker.lot.model for lot in self.owned.open()}
         members = {one.name: one for one in self.members.members(models, self._unresponsive())}
         with self.lock:
             self.eligible = frozenset(members)
@@ -159,7 +159,9 @@
         if not lots:
             return False
         with self.owned.lock:
-            known_events = {key: n for lot in lots for key, n in lot.book.at_runner(name).items()}
+            known_events = {
+                key: n for lot in lots for key, n in lot.tracker.at_runner(name).items()
+            }
         if not known_events and name not in self.eligible:
             return False
         facts = self.peers.facts_for(view.member)
@@ -189,11 +191,11 @@
             with self.owned.lock:
                 wanted = tuple(
                     name
-                    for name, state in lot.book.states.items()
+                    for name, state in lot.tracker.states.items()
                     if state.phase is Phase.WAITING and not state.events
                 )
             views = list(self._eligible_views().values())
-            min_version = lot.book.lot.min_version
+            min_version = lot.tracker.lot.min_version
             asks = [
                 (
                     view.member,
@@ -214,7 +216,7 @@
             samples = [
                 name
                 for name in reply.samples
-                if lot.book.states[name].phase is Phase.WAITING
+                if lot.tracker.states[name].phase is Phase.WAITING
                 and self.crash_guard.may_run_anywhere(lot, name)
             ]
         if samples:
@@ -243,9 +245,9 @@
         views = list(self._eligible_views().values())
         batches: dict[str, list[tuple[OwnedLot, str]]] = {}
         for lot in self.owned.open():
-            request = lot.book.lot
+            request = lot.tracker.lot
             with self.owned.lock:
-                waiting = [(one.sample.id, one.last_runner) for one in lot.book.waiting(now)]
+                waiting = [(one.sample.id, one.last_runner) for one in lot.tracker.waiting(now)]
             for name, avoid in waiting:
                 data_centre = self.peers.data_centre
                 allowed = self.crash_guard.allowed_runners(lot, name, views)
@@ -274,7 +276,7 @@
             taken = reply.samples
             pause = REFUSED_RETRY_S
         self._record_submitted(name, batch, taken, now + pause)
-        for lot in {id(lot): lot for lot, _ in batch if lot.book.ended}.values():
+        for lot in {id(lot): lot for lot, _ in batch if lot.tracker.ended}.values():
             self.drop(lot, let_finish=False)  # it ended while they were being sent
 
     def _record_submitted(
@@ -285,29 +287,29 @@
         with self.owned.lock:
             for lot, sample in batch:
                 if sample in taken:
-                    lot.book.accepted(sample, name, taken[sample])
+                    lot.tracker.accepted(sample, name, taken[sample])
             for lot, sample in refused:
-                lot.book.give_back(sample, name, retry_at)
+                lot.tracker.give_back(sample, name, retry_at)
         log_state("samples_sent", sidecar=name, taken=sorted(taken), refused=len(refused))
 
     def _assign(self, lot: OwnedLot, sample: str, runner: str) -> RunOrder:
         """Assign a sample to a sidecar and return the order to send."""
-        book = lot.book
-        state = book.states[sample]
-        book.assign(sample, runner)
+        tracker = lot.tracker
+        state = tracker.states[sample]
+        tracker.assign(sample, runner)
         return RunOrder(
             sample=state.sample,
-            host=book.lot.host,
-            min_version=book.lot.min_version,
-            one_version=book.rules.one_version,
+            host=tracker.lot.host,
+            min_version=tracker.lot.min_version,
+            one_version=tracker.rules.one_version,
             after=len(state.events),
             lineage=state.lineage if state.events else "",
             new_lineage=secrets.token_hex(4),
-            due=book.rules.due - self.clock.now(),
-            give_up_in_s=book.rules.give_up_at - self.clock.now(),
+            due=tracker.rules.due - self.clock.now(),
+            give_up_in_s=tracker.rules.give_up_at - self.clock.now(),
             rank=lot.stored.head.rank,
-            model=book.lot.model,
-            organisation=book.lot.organisation,
+            model=tracker.lot.model,
+            organisation=tracker.lot.organisation,
         )
 
     def _take_back(self, view: RunnerView, known_events: dict[str, int]) -> None:
--- a/src/threadramp/lots/owned.py
+++ b/src/threadramp/lots/owned.py
@@ -27,7 +27,7 @@
         ours, so that nobody else can have owned the lot before
     """
 
-    book: LotBook
+    tracker: LotBook
     stored: StoredHead
     partial_texts_requested: bool = False
     had_other_owner: bool = False
@@ -52,7 +52,7 @@
 
 
 class OwnedLots:
-    """All owned lots; ``lock`` guards them and their books."""
+    """All owned lots; ``lock`` guards them and their trackers."""
 
     def __init__(self) -> None:
         self.lots: dict[str, OwnedLot] = {}
@@ -84,8 +84,8 @@
     def open(self) -> list[OwnedLot]:
         """Return the lots that have not ended, the one that is due first at the front."""
         with self.lock:
-            found = [owned for owned in self.lots.values() if not owned.book.ended]
-        found.sort(key=lambda owned: owned.book.rules.due)
+            found = [owned for owned in self.lots.values() if not owned.tracker.ended]
+        found.sort(key=lambda owned: owned.tracker.rules.due)
         return found
 
     def notify_readers(self) -> None:
@@ -103,11 +103,16 @@
                 owned = self.lots.get(lot_id)
                 if owned is None:
                     return None
-                book = owned.book
+                tracker = owned.tracker
                 remaining_s = wait()
-                if after < len(book.listed) or book.ended or book.is_whole or remaining_s <= 0:
-                    results = first_page(book.listed[after:])
-                    return Page(len(book.states), book.ended, results)
+                if (
+                    after < len(tracker.listed)
+                    or tracker.ended
+                    or tracker.is_whole
+                    or remaining_s <= 0
+                ):
+                    results = first_page(tracker.listed[after:])
+                    return Page(len(tracker.states), tracker.ended, results)
                 self.listing_changed.wait(remaining_s)
 
 
--- a/src/threadramp/lots/owner.py
+++ b/src/threadramp/lots/owner.py
@@ -120,7 +120,7 @@
         owned = self.owned.get(stored.lot_id)
         if owned is None:
             return False
-        if not owned.book.ended:
+        if not owned.tracker.ended:
             self._stop_work(owned, stored)
         return True
 
@@ -204,7 +204,7 @@
         except (StoreError, NotOwnerError, LotMissingError) as error:
             log_state("hand_over_failed", lot=owned.lot_id, error=str(error))
             return True
-        stored_lot = StoredLot(stored, owned.book.lot, tuple(owned.book.listed))
+        stored_lot = StoredLot(stored, owned.tracker.lot, tuple(owned.tracker.listed))
         ask = Adopt(*self.peers.myself, stored_lot)
         if self.peers.ask(successor.address, ask, HAND_OVER_TIMEOUT_S) is None:
             log_state("successor_unresponsive", lot=owned.lot_id, to=successor.name)
@@ -218,9 +218,9 @@
     def _start(self, lot: Lot, stored: StoredHead) -> None:
         """Start work on a lot that has just been stored."""
         rules = rules_for(stored.head, self.clock.now())
-        book = LotBook(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
-        owned = OwnedLot(book, stored)
-        reused = self.partial_texts.apply_to(owned.book)
+        tracker = LotBook(lot, rules, lengths=self._lengths_of(lot), listing=self.listing)
+        owned = OwnedLot(tracker, stored)
+        reused = self.partial_texts.apply_to(owned.tracker)
         self.owned.add(owned)
         log_state(
             "lot_taken",
@@ -254,9 +254,9 @@
         """Stop work on a lot whose end is stored."""
         with self.owned.lock:
             owned.stored = stored
-            self.partial_texts.add(owned.book)
-            running = owned.book.end()
-            listed = len(owned.book.listed)
+            self.partial_texts.add(owned.tracker)
+            running = owned.tracker.end()
+            listed = len(owned.tracker.listed)
             self.owned.notify_readers()
         log_state("lot_ended", lot=owned.lot_id, listed=listed, running=len(running))
         self.drop(owned, True)
@@ -277,13 +277,13 @@
         stored = stored_lot.stored
         lengths = self._lengths_of(stored_lot.lot)
         rules = self._rules_after_takeover(stored)
-        book = LotBook(stored_lot.lot, rules, stored_lot.results, lengths, self.listing)
+        tracker = LotBook(stored_lot.lot, rules, stored_lot.results, lengths, self.listing)
         reused = [
             name
             for name, text in partial_texts.items()
-            if book.prefill(name, text.events, text.versions, text.lineage)
+            if tracker.prefill(name, text.events, text.versions, text.lineage)
         ]
-        if not self.owned.add(OwnedLot(book, stored, had_other_owner=had_other_owner)):
+        if not self.owned.add(OwnedLot(tracker, stored, had_other_owner=had_other_owner)):
             return
         log_state(
             "lot_adopted",
--- a/src/threadramp/lots/partial_texts.py
+++ b/src/threadramp/lots/partial_texts.py
@@ -16,21 +16,21 @@
     def __init__(self) -> None:
         self.texts: dict[str, tuple[list[str], list[int], str]] = {}
 
-    def add(self, book: LotBook) -> None:
+    def add(self, tracker: LotBook) -> None:
         """Add the text of a lot's samples that have no result."""
-        for name, state in book.states.items():
+        for name, state in tracker.states.items():
             if state.is_open and state.events:
                 self.texts.pop(name, None)
                 self.texts[name] = (state.events, state.versions, state.lineage)
         for name in list(self.texts)[: max(0, len(self.texts) - MAX_TEXTS)]:
             del self.texts[name]
 
-    def apply_to(self, book: LotBook) -> list[str]:
+    def apply_to(self, tracker: LotBook) -> list[str]:
         """Fill a new lot's samples with matching texts; returns the samples that were filled."""
         used = []
-        for name in book.states:
+        for name in tracker.states:
             text = self.texts.pop(name, None)
-            if text is not None and book.prefill(name, *text):
+            if text is not None and tracker.prefill(name, *text):
                 used.append(name)
         return used
 
--- a/src/threadramp/lots/reading.py
+++ b/src/threadramp/lots/reading.py
@@ -56,7 +56,7 @@
         """
         owned = self.owned.get(lot_id)
         if owned is not None:
-            state = owned.book.states.get(sample)
+            state = owned.tracker.states.get(sample)
             return state.sample.body if state is not None else None
         return self.remote_lots.body(lot_id, sample)
 
@@ -87,7 +87,7 @@
         owned = self.owned.get(ask.lot)
         if owned is None:
             return SampleBody(False, None)
-        state = owned.book.states.get(ask.sample)
+        state = owned.tracker.states.get(ask.sample)
         return SampleBody(True, state.sample.body if state is not None else None)
 
     def _own_page(self, lot_id: str, after: int, wait_s: float) -> Page | None:
--- a/src/threadramp/lots/runner_updates.py
+++ b/src/threadramp/lots/runner_updates.py
@@ -1,4 +1,4 @@
-"""Applies what sidecars report about samples to the books of the lots."""
+"""Applies what sidecars report about samples to the trackers of the lots."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
             if lot is None:
                 continue
             with self.owned.lock:
-                lot.book.give_back(sample, view.member.name, now)
+                lot.tracker.give_back(sample, view.member.name, now)
         if reply.updates or reply.unknown:
             self.owned.work_available.set()
 
@@ -70,7 +70,7 @@
         view.status = None
         for lot in lots:
             with self.owned.lock:
-                lost = lot.book.lose_runner(view.member.name, now)
+                lost = lot.tracker.lose_runner(view.member.name, now)
             if lost:
                 log_state(
                     "sidecar_lost",
@@ -87,27 +87,27 @@
     ) -> Phase | None:
         """Apply the update of one sample; returns its phase if its run ended."""
         name = view.member.name
-        book = lot.book
-        added = book.add_events(
+        tracker = lot.tracker
+        added = tracker.add_events(
             update.sample, name, update.base, update.events, update.versions, update.lineage
         )
         if not added:
-            if update.sample in book.at_runner(name):  # another gateway has restarted it there
+            if update.sample in tracker.at_runner(name):  # another gateway has restarted it there
                 log_state("events_refused", sample=update.sample, sidecar=name, base=update.base)
-                book.give_back(update.sample, name, now)
+                tracker.give_back(update.sample, name, now)
             return None
         if not update.outcome:
             return None
         outcome = RunOutcome(update.outcome)
         self.crash_guard.record_outcome(lot, update.sample, outcome, update.start)
-        phase = book.run_ended(update.sample, name, outcome, now)
+        phase = tracker.run_ended(update.sample, name, outcome, now)
         log_state(
             "run_ended",
             sample=update.sample,
             lot=lot.lot_id,
             sidecar=name,
             outcome=update.outcome,
-            events=len(book.states[update.sample].events),
+            events=len(tracker.states[update.sample].events),
             phase=phase and phase.value,
         )
         return phase
@@ -118,7 +118,7 @@
             return {
                 name: lot
                 for lot in lots
-                for name, state in lot.book.states.items()
+                for name, state in lot.tracker.states.items()
                 if state.phase is Phase.RUNNING
             }
 
--- a/src/threadramp/lots/sample_moves.py
+++ b/src/threadramp/lots/sample_moves.py
@@ -51,7 +51,7 @@
         """Take samples of a lot back from a sidecar."""
         name = view.member.name
         with self.owned.lock:
-            known_events = lot.book.at_runner(name)
+            known_events = lot.tracker.at_runner(name)
             moved = {sample: known_events[sample] for sample in samples if sample in known_events}
         if not moved:
             return
@@ -59,23 +59,23 @@
         self.drop(view, moved)
         with self.owned.lock:
             for sample in moved:
-                lot.book.give_back(sample, name, self.clock.now())
+                lot.tracker.give_back(sample, name, self.clock.now())
 
 
 def _running(lot: OwnedLot, views: Mapping[str, RunnerView]) -> list[RunningSample]:
     """Return the samples of a lot that run at one of these sidecars."""
-    book = lot.book
+    tracker = lot.tracker
     return [
         RunningSample(
             lot=lot.lot_id,
             sample=name,
-            model=book.lot.model,
-            min_version=book.lot.min_version,
+            model=tracker.lot.model,
+            min_version=tracker.lot.min_version,
             runner=state.runner,
             here=len(state.events) - state.events_before,
-            left=book.events_left(state),
+            left=tracker.events_left(state),
         )
-        for name, state in book.states.items()
+        for name, state in tracker.states.items()
         if state.phase is Phase.RUNNING and state.confirmed and state.runner in views
     ]
 
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -57,7 +57,7 @@
             log_state("scoring_failed", lot=lot.lot_id, sample=sample, error=repr(error))
 
     def _score(self, lot: OwnedLot, sample: str) -> None:
-        reward = lot.book.states[sample].sample.reward
+        reward = lot.tracker.states[sample].sample.reward
         pause = RETRY_PAUSE_S
         while self._still_wanted(lot, sample):
             outcome, route = self._call(reward)
@@ -69,8 +69,8 @@
 
     def _still_wanted(self, lot: OwnedLot, sample: str) -> bool:
         with self.owned.lock:
-            scoring = lot.book.states[sample].phase is Phase.SCORING
-            return scoring and not lot.book.ended and self.owned.get(lot.lot_id) is lot
+            scoring = lot.tracker.states[sample].phase is Phase.SCORING
+            return scoring and not lot.tracker.ended and self.owned.get(lot.lot_id) is lot
 
     def _call(self, reward: Reward) -> tuple[Outcome | None, Route | None]:
         configuration = self.picture.belief.configuration
@@ -100,10 +100,10 @@
             status = answer.head.status
             if 200 <= status < 300:
                 with self.owned.lock:
-                    return lot.book.scored(sample, answer.head.signature, now) or True
+                    return lot.tracker.scored(sample, answer.head.signature, now) or True
             if status == 500:
                 with self.owned.lock:
-                    given_up = lot.book.score_failed(sample, now, route.max_attempts)
+                    given_up = lot.tracker.score_failed(sample, now, route.max_attempts)
                 log_state("score_refused", lot=lot.lot_id, sample=sample, given_up=given_up)
                 return given_up
         ending = outcome.ending.value if outcome is not None else "no route"
--- a/src/threadramp/lots/urgent_loads.py
+++ b/src/threadramp/lots/urgent_loads.py
@@ -48,8 +48,12 @@
     def _waiting(self, now: float) -> list[tuple[str, int]]:
         """Return model and oldest allowed version for each lot with waiting samples."""
         with self.owned.lock:
-            books = [lot.book for lot in self.owned.open()]
-            return [(book.lot.model, book.lot.min_version) for book in books if book.waiting(now)]
+            trackers = [lot.tracker for lot in self.owned.open()]
+            return [
+                (tracker.lot.model, tracker.lot.min_version)
+                for tracker in trackers
+                if tracker.waiting(now)
+            ]
 
 
 __all__ = ["UrgentLoads"]
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -138,7 +138,7 @@
         with self.owned.lock:
             phases: dict[str, int] = {}
             runners: dict[str, int] = {}
-            for state in owned.book.states.values():
+            for state in owned.tracker.states.values():
                 phases[state.phase.value] = phases.get(state.phase.value, 0) + 1
                 if state.runner:
                     runners[state.runner] = runners.get(state.runner, 0) + 1
--- a/tests/lots/test_checkpoints.py
+++ b/tests/lots/test_checkpoints.py
@@ -15,9 +15,9 @@
 
 @pytest.fixture
 def lot() -> OwnedLot:
-    book = make_book(make_sample("a", "g"), make_sample("b", "g"))
-    start(book, "a", "s1")
-    return OwnedLot(book, StoredHead("lot", HEAD, 1))
+    tracker = make_book(make_sample("a", "g"), make_sample("b", "g"))
+    start(tracker, "a", "s1")
+    return OwnedLot(tracker, StoredHead("lot", HEAD, 1))
 
 
 @pytest.fixture
@@ -32,9 +32,9 @@
 
 
 def grow(lot: OwnedLot, until: int) -> list[str]:
-    state = lot.book.states["a"]
+    state = lot.tracker.states["a"]
     new = [f"e{number}" for number in range(len(state.events) + 1, until + 1)]
-    lot.book.add_events("a", "s1", len(state.events), new, [1] * len(new), "L1")
+    lot.tracker.add_events("a", "s1", len(state.events), new, [1] * len(new), "L1")
     return state.events
 
 
@@ -55,8 +55,8 @@
     made = checkpoints(store, lot)
     grow(lot, 40)
     made.save(lot)
-    lot.book._start_over(lot.book.states["a"], 0.0)
-    start(lot.book, "a", "s1")
+    lot.tracker._start_over(lot.tracker.states["a"], 0.0)
+    start(lot.tracker, "a", "s1")
     grow(lot, 30)
     made.save(lot)
     assert len(made.load("lot")["a"].events) == 30
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -29,8 +29,8 @@
 HEAD = LotHead("g1", "1", 0.0, 7.5, 40.0, 3, False, 3, 0, 0, 0, False, "")
 
 
-def book_of(names: str) -> LotBook:
-    """Return the book of a lot with one sample for each letter."""
+def tracker_of(names: str) -> LotBook:
+    """Return the tracker of a lot with one sample for each letter."""
     return make_book(*[make_sample(name, "g") for name in names])
 
 
@@ -87,8 +87,8 @@
         self.picture.members.replace(Listing(items, self.picture.members.revision + 1), 0.0)
 
     def own(self) -> OwnedLot:
-        book = book_of("abc")
-        owned = OwnedLot(book, self.journal.create(book.lot, HEAD))
+        tracker = tracker_of("abc")
+        owned = OwnedLot(tracker, self.journal.create(tracker.lot, HEAD))
         self.owned.add(owned)
         return owned
 
@@ -113,11 +113,11 @@
     owned = running.own()
     other.know("g0")
     other.reader.end("lot")
-    assert not owned.book.ended
+    assert not owned.tracker.ended
     assert other.notices.run_once()
     other.know("g0", "g1")
     assert not other.notices.run_once()
-    assert owned.book.ended
+    assert owned.tracker.ended
     assert owned.stored.head.ended
     assert running.dropped == ["lot"]
 
@@ -130,7 +130,7 @@
     clock.at += 1.0
     other.reader.end("lot")
     assert not other.notices.run_once()
-    assert owned.book.ended
+    assert owned.tracker.ended
     assert running.dropped == ["lot"]
 
 
@@ -142,20 +142,20 @@
     assert other.notices.run_once()
     client.silent.clear()
     assert not other.notices.run_once()
-    assert owned.book.ended
+    assert owned.tracker.ended
 
 
 def test_an_end_reaches_the_gateway_that_took_the_lot_over_meanwhile(running, other, client):
     client.silent.add("g2:1")
     other.know("g0", "g1", "g2")
-    book = book_of("abc")
-    stored = other.journal.create(book.lot, HEAD)
+    tracker = tracker_of("abc")
+    stored = other.journal.create(tracker.lot, HEAD)
     client.silent.add("g1:1")
     other.reader.end("lot")  # it uses the previous owner
-    running.owned.add(OwnedLot(book, stored))
+    running.owned.add(OwnedLot(tracker, stored))
     client.silent.discard("g1:1")
     other.notices.run_once()
-    assert book.ended
+    assert tracker.ended
 
 
 def test_an_end_of_a_lot_that_was_taken_over_reaches_the_gateway_that_ran_it(running, other):
@@ -165,10 +165,10 @@
     other.owner.take_over(owned.stored)
     other.reader.end("lot")
     assert other.dropped == ["lot"]
-    assert not owned.book.ended
+    assert not owned.tracker.ended
     other.know("g0", "g1")
     assert not other.notices.run_once()
-    assert owned.book.ended
+    assert owned.tracker.ended
     assert running.dropped == ["lot"]
 
 
@@ -182,7 +182,7 @@
 
 
 def test_a_notice_that_no_owner_confirms_expires(running, other, clock):
-    running.journal.create(book_of("a").lot, HEAD)
+    running.journal.create(tracker_of("a").lot, HEAD)
     other.know("g0", "g1")
     other.reader.end("lot")
     assert other.notices.run_once()
@@ -214,12 +214,12 @@
     stored = running.journal.read_head("lot")
     running.journal.update(stored, ended=True)
     LotAudit(running.owner, status_s=120.0)._scan()
-    assert owned.book.ended
+    assert owned.tracker.ended
     assert running.dropped == ["lot"]
 
 
 def test_a_repeated_end_is_not_notified_again(running, other, clock):
-    running.journal.create(book_of("a").lot, HEAD)
+    running.journal.create(tracker_of("a").lot, HEAD)
     other.know("g0", "g1")
     other.reader.end("lot")
     clock.at += NOTICE_TTL_S + 0.1
@@ -233,7 +233,7 @@
     names = [f"g{n}" for n in range(12)]
     left = next(f"gone{n}" for n in range(99) if "g0" not in scanners_for(f"gone{n}", names))
     head = msgspec.structs.replace(HEAD, owner=left, incarnation="old")
-    other.journal.create(book_of("a").lot, head)
+    other.journal.create(tracker_of("a").lot, head)
     other.know(*names)
     audit = LotAudit(other.owner, status_s=120.0)
     audit._scan()
@@ -277,7 +277,7 @@
 
     other.journal.load_from_head = end_meanwhile
     other.owner.take_over(stored)
-    assert other.owned.get("lot").book.ended
+    assert other.owned.get("lot").tracker.ended
 
 
 def test_a_lot_that_is_taken_over_while_its_end_is_being_written_is_ended(running, other):
@@ -291,7 +291,7 @@
 
     other.owner._store_end = take_over_first
     other.reader.end("lot")
-    assert other.owned.get("lot").book.ended
+    assert other.owned.get("lot").tracker.ended
 
 
 def test_a_notice_received_during_a_takeover_ends_the_lot(running, other):
@@ -307,4 +307,4 @@
 
     other.journal.load_from_head = told_meanwhile
     other.owner.take_over(stored)
-    assert other.owned.get("lot").book.ended
+    assert other.owned.get("lot").tracker.ended
--- a/tests/lots/test_head_lookup.py
+++ b/tests/lots/test_head_lookup.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tests.lots.test_end_notices import HEAD, Gateway, LocalClient, book_of
+from tests.lots.test_end_notices import HEAD, Gateway, LocalClient, tracker_of
 from threadramp.lots.remote_lots import LotUnknownError
 from threadramp.policy.routing import rendezvous
 
@@ -38,14 +38,14 @@
 
 def test_a_data_centre_reads_a_head_once(fleet, platform_store):
     """Each of its gateways read it itself: calls grew with gateways times lots."""
-    stored = fleet["g0"].journal.create(book_of("abc").lot, FAR)
+    stored = fleet["g0"].journal.create(tracker_of("abc").lot, FAR)
     before = platform_store.counts["reads"]
     assert all(found_by(gateway) == stored for gateway in fleet.values())
     assert platform_store.counts["reads"] - before == 1
 
 
 def test_a_head_is_read_here_if_the_responsible_gateway_does_not_answer(fleet, reader, client):
-    stored = fleet["g0"].journal.create(book_of("abc").lot, FAR)
+    stored = fleet["g0"].journal.create(tracker_of("abc").lot, FAR)
     client.silent.add(f"{RESPONSIBLE}:1")
     assert found_by(reader) == stored
 
--- a/tests/lots/test_owner.py
+++ b/tests/lots/test_owner.py
@@ -134,6 +134,6 @@
     first.submit(lot, route, retry_for_s=1.0)
     clock.at += 5.0
     successor.take_over(successor.journal.read_head("lot"))
-    taken = successor.owned.get("lot").book
+    taken = successor.owned.get("lot").tracker
     assert taken.rules.give_up_at > submitted_at + GIVE_UP_S
     assert taken.rules.give_up_at < submitted_at + GIVE_UP_S + 15.0  # nor long after
--- a/tests/lots/test_reading.py
+++ b/tests/lots/test_reading.py
@@ -52,8 +52,8 @@
     def __init__(self, clock, store_address) -> None:
         self.clock = clock
         self.journal = LotJournal(StoreClient(store_address, timeout_s=0.5))
-        self.book = make_book(*[make_sample(name, "g") for name in "abc"])
-        self.stored = self.journal.create(self.book.lot, HEAD)
+        self.tracker = make_book(*[make_sample(name, "g") for name in "abc"])
+        self.stored = self.journal.create(self.tracker.lot, HEAD)
         picture = Picture()
         items = tuple(Item(f"member/{m.name}", msgspec.msgpack.encode(m), 1) for m in MEMBERS)
         picture.members.replace(Listing(items, 1), 0.0)
@@ -68,10 +68,10 @@
     def own(self) -> None:
         """Make the gateway consider itself the owner of the lot, with the current results."""
         self.stored = self.journal.update(self.stored, owner="g0")
-        self.book.appended(())
+        self.tracker.appended(())
         for one in self.journal.read_results(self.stored, 0):
-            self.book.appended([one])
-        self.owned.add(OwnedLot(self.book, self.stored))
+            self.tracker.appended([one])
+        self.owned.add(OwnedLot(self.tracker, self.stored))
 
     def names(self, after: int = 0) -> list[str]:
         return [one.sample for one in self.reader.results("lot", after, 0.0).results]
--- a/tests/lots/test_sample_moves.py
+++ b/tests/lots/test_sample_moves.py
@@ -19,16 +19,16 @@
 def owned(clock) -> OwnedLots:
     clock.at = 50.0
     made = OwnedLots()
-    book = make_book(make_sample("a", "g", expected=EXPECTED))
-    made.add(OwnedLot(book, StoredHead("lot", None, 1)))
+    tracker = make_book(make_sample("a", "g", expected=EXPECTED))
+    made.add(OwnedLot(tracker, StoredHead("lot", None, 1)))
     return made
 
 
 def run_at_slow(owned: OwnedLots, events: int):
     (lot,) = owned.open()
-    start(lot.book, "a", "slow")
-    lot.book.add_events("a", "slow", 0, ["x"] * events, [3] * events, "L1")
-    return lot.book.states["a"]
+    start(lot.tracker, "a", "slow")
+    lot.tracker.add_events("a", "slow", 0, ["x"] * events, [3] * events, "L1")
+    return lot.tracker.states["a"]
 
 
 def test_a_moved_sample_waits_with_its_events(owned, clock):
--- a/tests/lots/test_urgent_loads.py
+++ b/tests/lots/test_urgent_loads.py
@@ -31,8 +31,8 @@
 def urgent_loads(clock) -> UrgentLoads:
     clock.at = 50.0
     owned = OwnedLots()
-    book = make_book(make_sample("a", "g"), min_version=4)
-    owned.add(OwnedLot(book, StoredHead("lot", None, 1)))
+    tracker = make_book(make_sample("a", "g"), min_version=4)
+    owned.add(OwnedLot(tracker, StoredHead("lot", None, 1)))
     return UrgentLoads(owned, Peers(), clock)
 
 
@@ -50,6 +50,6 @@
 def test_none_is_asked_where_nothing_waits_or_one_engine_can_run_it(urgent_loads):
     urgent_loads.run_once([view("a", version=4), view("b", version=3)])
     (lot,) = urgent_loads.owned.open()
-    start(lot.book, "a", "s1")
+    start(lot.tracker, "a", "s1")
     urgent_loads.run_once([view("a", version=3)])
     assert urgent_loads.peers.asked == []
