--- a/src/threadramp/duties/collecting.py
+++ b/src/threadramp/duties/collecting.py
@@ -27,7 +27,7 @@
 class _StartupCount:
     """A request that was counted soon after the start of the process.
 
-    :param sent_at: time of the steady clock at which it was sent
+    :param sent_at: time of the monotonic clock at which it was sent
     :param counted_at: its true time as known when it was counted
     """
 
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, window_s: float, true_time: TrueTime, box: str, incarnation: str) -> None:
-        self.book = UsageBook(window_s)
+        self.windows = UsageBook(window_s)
         self.true_time = true_time
         self.box = box
         self.incarnation = incarnation
@@ -60,7 +60,7 @@
     def count_sent(self, organisation: str | None, sent_at: float) -> None:
         """Count a request that an endpoint started, unless it has no organisation.
 
-        :param sent_at: time of the steady clock at which it was sent
+        :param sent_at: time of the monotonic clock at which it was sent
         """
         self._add(organisation, sent_at, 1)
 
@@ -72,7 +72,7 @@
         """Return the number of the last change, and the windows changed after change ``seen``."""
         with self.lock:
             self._move_startup_counts()
-        return self.book.changed_since(seen)
+        return self.windows.changed_since(seen)
 
     def answer(self, ask: ReadUsage) -> UsageCounts:
         """Report to a collector what changed since its last question.
@@ -95,7 +95,7 @@
             return
         at = self.true_time.at(sent_at)
         with self.lock:
-            self.book.add(organisation, at, count)
+            self.windows.add(organisation, at, count)
             if sent_at < self.startup_ends_at:
                 self.startup_counts.append(_StartupCount(organisation, sent_at, at, count))
 
@@ -106,8 +106,8 @@
         """
         for one in self.startup_counts:
             at = self.true_time.at(one.sent_at)
-            if self.book.window_at(at) != self.book.window_at(one.counted_at):
-                self.book.move(one.organisation, one.counted_at, at, one.count)
+            if self.windows.window_at(at) != self.windows.window_at(one.counted_at):
+                self.windows.move(one.organisation, one.counted_at, at, one.count)
                 one.counted_at = at
         if self.true_time.clock.now() > self.startup_ends_at + STARTUP_S:
             self.startup_counts.clear()
@@ -120,7 +120,7 @@
         self.peers = peers
         self.counter = counter
         self.true_time = true_time
-        self.table = UsageTable(counter.book.window_s)
+        self.table = UsageTable(counter.windows.window_s)
         self.incarnations: dict[str, str] = {}
         self.missed_rounds: dict[str, int] = {}
         self.open_by_gateway: dict[str, Open] = {}
@@ -157,7 +157,7 @@
         A gateway that collects in addition to the holder, and reports nothing itself, drops them
         too.
         """
-        oldest = self.counter.book.window_at(self.true_time.now()) - KEPT_WINDOWS
+        oldest = self.counter.windows.window_at(self.true_time.now()) - KEPT_WINDOWS
         with self.lock:
             self.table.forget_before(oldest)
             self.open_by_gateway = {
@@ -175,7 +175,7 @@
             at = asked_at if counts.is_sure else NEVER
             self.table.note(counts.box, counts.incarnation, counts.changes, counts.windows, at)
 
-    def all_reported(self, since: float) -> bool:
+    def all_answered(self, since: float) -> bool:
         """Return whether all known gateways answered a question asked after a true time."""
         with self.lock:
             return all(self.table.heard_after(name, since) for name in self._expected())
--- a/src/threadramp/duties/usage_reports.py
+++ b/src/threadramp/duties/usage_reports.py
@@ -34,7 +34,7 @@
 class UsageReports:
     """The reports of one gateway while it holds the lock for the duties.
 
-    :param started_at: time of the steady clock at which this process started
+    :param started_at: time of the monotonic clock at which this process started
     """
 
     def __init__(
@@ -100,12 +100,12 @@
         now = self.true_time.now()
         while now >= self.schedule.settled(self.next_window):
             window = self.next_window
-            all_reported = self.collector.all_reported(self.schedule.settled(window))
-            if not self.schedule.is_ready(window, now, all_reported):
+            all_answered = self.collector.all_answered(self.schedule.settled(window))
+            if not self.schedule.is_ready(window, now, all_answered):
                 return
-            self._store_report(window, all_reported)
+            self._store_report(window, all_answered)
 
-    def _store_report(self, window: int, all_reported: bool) -> None:
+    def _store_report(self, window: int, all_answered: bool) -> None:
         """Store the report of a window, unless one is stored already.
 
         :raises StoreError: if it is unknown which report is stored
@@ -134,7 +134,7 @@
             number=self.fencing_token,
             organisations=len(counts),
             requests=sum(counts.values()),
-            all_reported=all_reported,
+            all_answered=all_answered,
             late_s=round(self.true_time.now() - self.schedule.end(window), 2),
         )
         self.unsent[window] = counts
--- a/tests/duties/test_collecting.py
+++ b/tests/duties/test_collecting.py
@@ -55,7 +55,7 @@
 
 
 def test_counts_of_both_gateways_are_added(clock, collector, other):
-    window = collector.counter.book.window_at(collector.true_time.now())
+    window = collector.counter.windows.window_at(collector.true_time.now())
     collector.counter.count_sent("acme", clock.now())
     other.count_sent("acme", clock.now())
     other.count_sent(None, clock.now())
@@ -68,13 +68,13 @@
     clock.at += SURE_S
     since = collector.true_time.now() - 1.0
     collector.round()
-    assert collector.all_reported(since)
+    assert collector.all_answered(since)
     peers.answers = False
     clock.at += 5.0
     for rounds in (1, 2):
         collector.round()
         assert collector.missed_rounds == {"other": rounds}
-    assert not collector.all_reported(since + 5.0)
+    assert not collector.all_answered(since + 5.0)
 
 
 def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collector, other):
@@ -91,7 +91,7 @@
 def test_requests_counted_before_the_time_was_known_move_to_their_windows(clock, ahead):
     """A box serves calls at once, and learns from others only later that its clock is off."""
     counter = counter_of_a_box_that_is(ahead, clock)
-    window = counter.book.window_at(clock.time_of_day())
+    window = counter.windows.window_at(clock.time_of_day())
     for _ in range(3):
         counter.count_sent("acme", clock.now())
     counter.uncount("acme", clock.now())
@@ -100,7 +100,7 @@
     reported = counter.answer(ask_of("second", clock))
     assert reported.is_sure
     assert reported.windows[window] == {"acme": 2}
-    assert reported.windows.get(counter.book.window_at(clock.time_of_day() + ahead), {}) == {}
+    assert reported.windows.get(counter.windows.window_at(clock.time_of_day() + ahead), {}) == {}
 
 
 def counter_of_a_box_that_is(ahead: float, clock) -> UsageCounter:
@@ -131,17 +131,17 @@
     peers.ask_all = asked_all
     clock.at += SURE_S
     collector.round()
-    assert not collector.all_reported(truth() + 1.0)
+    assert not collector.all_answered(truth() + 1.0)
     clock.at += 1.1
     collector.round()
-    assert collector.all_reported(truth() - 0.1)
+    assert collector.all_answered(truth() - 0.1)
 
 
 def test_counts_of_two_gateways_without_a_third_are_final_after_a_while(clock, collector):
     """Two gateways alone never hear from a third; after a while their counts are accepted."""
     since = collector.true_time.now() - 0.1
     collector.round()
-    assert not collector.all_reported(since)
+    assert not collector.all_answered(since)
     clock.at += SURE_S
     collector.round()
-    assert collector.all_reported(since)
+    assert collector.all_answered(since)
--- a/tests/duties/test_usage_reports.py
+++ b/tests/duties/test_usage_reports.py
@@ -78,7 +78,7 @@
         self.windows: dict[int, Counter] = {}
         self.told = True
 
-    def all_reported(self, since):
+    def all_answered(self, since):
         return self.told
 
     def total(self, window):
@@ -175,7 +175,7 @@
     assert len([key for key in store.items if key.startswith(REPORT_PREFIX)]) <= 12
 
 
-def test_nothing_is_sent_before_all_reported_or_the_wait_is_over(store, cloud, clock):
+def test_nothing_is_sent_before_all_answered_or_the_wait_is_over(store, cloud, clock):
     one = Gateway("one", store, cloud, clock)
     one.run_once()
     one.collector.told = False
