--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -1,4 +1,4 @@
-"""What is open at one gateway, for the size of pools that follow demand."""
+"""Counts open requests at one gateway, for pools that scale with demand."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 Open = dict[str, dict[str, float]]  # by pool and data centre
 
 
-class DemandCounting:
+class DemandCounter:
     """Counts open requests of callers, and samples that run or wait."""
 
     def __init__(self, picture: FleetView, choice: EndpointSelector, owned: OwnedLots) -> None:
@@ -24,36 +24,36 @@
         self.owned = owned
 
     def open(self) -> Open:
-        """Return what is open now; nothing where no pool follows demand."""
+        """Return the open requests; nothing if no pool scales with demand."""
         belief = self.picture.snapshot
         configuration = belief.configuration
         if configuration is None:
             return {}
         pools = [name for name, pool in configuration.pools.items() if pool.autoscale is not None]
-        found = {name: self._calls(name, belief) for name in pools}
+        found = {name: self._open_calls(name, belief) for name in pools}
         if pools:
             self._add_samples(found, belief)
         return {name: dict(row) for name, row in found.items()}
 
-    def _calls(self, pool: str, belief: FleetSnapshot) -> Counter[str]:
+    def _open_calls(self, pool: str, belief: FleetSnapshot) -> Counter[str]:
         row: Counter[str] = Counter()
         for endpoint in belief.in_pool(pool):
             row[endpoint.data_centre] += self.choice.open_requests(endpoint)
         return row
 
     def _add_samples(self, found: dict[str, Counter[str]], belief: FleetSnapshot) -> None:
-        """Count the samples of own lots, spread over the pool's data centres."""
+        """Add the samples of owned lots, spread over the pool's data centres."""
         for lot in self.owned.open():
-            route = belief.configuration.route_for(lot.book.lot.host, lot.book.lot.path)
+            route = belief.configuration.route_for(lot.tracker.lot.host, lot.tracker.lot.path)
             pool = route.shares[0].pool if route is not None else ""
             if pool not in found:
                 continue
             with self.owned.lock:
-                states = list(lot.book.states.values())
+                states = list(lot.tracker.states.values())
             wanted = sum(state.phase in (Phase.RUNNING, Phase.WAITING) for state in states)
-            places = {one.data_centre for one in belief.in_pool(pool)}
-            for place in places:
-                found[pool][place] += wanted / len(places)
+            data_centres = {one.data_centre for one in belief.in_pool(pool)}
+            for data_centre in data_centres:
+                found[pool][data_centre] += wanted / len(data_centres)
 
 
-__all__ = ["DemandCounting", "Open"]
+__all__ = ["DemandCounter", "Open"]
--- /dev/null
+++ b/src/threadramp/lots/dispatcher.py
@@ -0,0 +1,331 @@
+"""Sends samples of the lots that this gateway owns to sidecars and collects their text."""
+
+from __future__ import annotations
+
+import secrets
+import threading
+from typing import TYPE_CHECKING
+
+from threadramp.core.lot_tracker import Phase
+from threadramp.fleet.runner_members import RunnerMembers
+from threadramp.lots.runner_updates import RunnerUpdates
+from threadramp.lots.sample_moves import SampleMoves
+from threadramp.lots.urgent_loads import UrgentLoads
+from threadramp.policy.sample_placement import RunnerView, choose_runner
+from threadramp.report.guard import start_loop
+from threadramp.report.log import log_state
+from threadramp.wire.fleet import (
+    Accepted,
+    Collect,
+    Drop,
+    Find,
+    Found,
+    Submit,
+    Updates,
+)
+from threadramp.wire.runner import RunOrder
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from threadramp.fleet.clock import Clock
+    from threadramp.fleet.peers import Peers
+    from threadramp.lots.crashing_samples import SampleCrashGuard
+    from threadramp.lots.owned import OwnedLot, OwnedLots
+    from threadramp.wire.fleet import AnyReply
+
+COLLECT_WAIT_S = 0.5  # a sidecar answers earlier when a sample ends
+RESPONSE_MARGIN_S = 0.7  # network round trip and a busy processor
+ASK_TIMEOUT_S = 0.7
+LOST_AFTER_S = 1.6  # a sidecar stops its samples after 1.0 s without any request
+POLL_INTERVAL_S = 0.1
+REFUSED_RETRY_S = 0.1
+UNRESPONSIVE_RETRY_S = 0.3
+FIND_TIMEOUT_S = 0.4
+
+
+class SampleDispatcher:
+    """Sends samples to sidecars and collects their text.
+
+    :param on_text_complete: called with a lot and a sample whose text is complete
+    :param crash_guard: decides which samples are held back after engine crashes
+    """
+
+    def __init__(
+        self,
+        owned: OwnedLots,
+        peers: Peers,
+        clock: Clock,
+        on_text_complete: Callable[[OwnedLot, str], None],
+        crash_guard: SampleCrashGuard,
+    ) -> None:
+        self.crash_guard = crash_guard
+        self.owned = owned
+        self.peers = peers
+        self.clock = clock
+        self.updates = RunnerUpdates(owned, clock, on_text_complete, crash_guard)
+        self.members = RunnerMembers(peers, clock)
+        self.views: dict[str, RunnerView] = {}
+        self.collectors: set[str] = set()
+        self.eligible: frozenset[str] = frozenset()
+        self.moves = SampleMoves(owned, clock, self._take_back)
+        self.urgent_loads = UrgentLoads(owned, peers, clock)
+        self.lock = threading.Lock()
+        self.stopped = threading.Event()
+
+    def start(self) -> None:
+        """Start the loop that sends samples."""
+        start_loop(self._run, self.stopped)
+
+    def drop(self, lot: OwnedLot, let_finish: bool) -> None:
+        """Tell the sidecars that the samples of a lot are no longer needed."""
+        for view in list(self.views.values()):
+            with self.owned.lock:
+                known_events = lot.tracker.event_counts_at(view.member.name)
+            if known_events:
+                self._drop(view, known_events, let_finish)
+
+    def _run(self) -> None:
+        while not self.stopped.is_set():
+            self.owned.work_available.wait(POLL_INTERVAL_S)
+            self.owned.work_available.clear()
+            if not self.owned.open():
+                continue
+            self._refresh_views()
+            self._find_partial_texts()
+            self.moves.run_once(self._eligible_views())
+            self._send_waiting()
+            self.urgent_loads.run_once(list(self._eligible_views().values()))
+
+    def _refresh_views(self) -> None:
+        """Keep one view and one collector for each sidecar that may run samples of owned lots."""
+        models = {lot.tracker.lot.model for lot in self.owned.open()}
+        members = {one.name: one for one in self.members.members(models, self._unresponsive())}
+        with self.lock:
+            self.eligible = frozenset(members)
+            for name in self.views.keys() - members.keys() - self.collectors:
+                del self.views[name]
+            for name, member in members.items():
+                view = self.views.get(name)
+                if view is None or view.member.address != member.address:
+                    self.views[name] = RunnerView(member, first_asked_at=self.clock.now())
+                else:
+                    view.member = member
+                self._start_collector(name)
+
+    def _unresponsive(self) -> list[str]:
+        """Return the sidecars that do not answer; by now they have stopped their samples."""
+        now = self.clock.now()
+        unresponsive = [
+            view
+            for name, view in list(self.views.items())
+            if name in self.collectors
+            and now - max(view.last_answer_at, view.first_asked_at) > LOST_AFTER_S
+        ]
+        for view in unresponsive:
+            if view.status is not None:
+                self.updates.mark_lost(view, self.owned.open(), "silent")
+        return [view.member.name for view in unresponsive]
+
+    def _eligible_views(self) -> dict[str, RunnerView]:
+        """Return the sidecars that get new samples, not those that only finish what they have."""
+        return {name: view for name, view in list(self.views.items()) if name in self.eligible}
+
+    def _start_collector(self, name: str) -> None:
+        """Start collecting from a sidecar unless a collector runs already."""
+        if name in self.collectors:
+            return
+        self.collectors.add(name)
+        threading.Thread(
+            target=self._collect_from, args=(name,), name=f"collect-{name}", daemon=True
+        ).start()
+
+    def _collect_from(self, name: str) -> None:
+        """Collect from one sidecar while it gets new samples or still runs some of ours."""
+        while not self.stopped.is_set():
+            view = self.views[name]
+            try:
+                if not self._collect_once(view):
+                    break
+            except Exception as error:  # keep collecting, otherwise its samples would be stuck
+                log_state("collect_failed", sidecar=name, error=repr(error))
+                self.stopped.wait(UNRESPONSIVE_RETRY_S)
+        with self.lock:
+            self.collectors.discard(name)
+
+    def _collect_once(self, view: RunnerView) -> bool:
+        """Ask a sidecar once for updates; false if there is nothing to ask for."""
+        name = view.member.name
+        lots = self.owned.open()
+        if not lots:
+            return False
+        with self.owned.lock:
+            known_events = {
+                key: n for lot in lots for key, n in lot.tracker.event_counts_at(name).items()
+            }
+        if not known_events and name not in self.eligible:
+            return False
+        facts = self.peers.facts_for(view.member)
+        engine = view.member.endpoint
+        ask = Collect(*self.peers.sender_fields, facts, known_events, COLLECT_WAIT_S, engine)
+        reply = self.peers.ask(view.member.address, ask, COLLECT_WAIT_S + RESPONSE_MARGIN_S)
+        if not isinstance(reply, Updates):
+            self._handle_no_reply(view, lots)
+            return True
+        self.updates.record_status(view, reply.status)
+        self.updates.apply_updates(view, lots, reply)
+        return True
+
+    def _handle_no_reply(self, view: RunnerView, lots: list[OwnedLot]) -> None:
+        """Count an unresponsive sidecar as lost once its samples must have stopped."""
+        now = self.clock.now()
+        if now - view.last_answer_at > LOST_AFTER_S:
+            self.updates.mark_lost(view, lots, "silent")
+        self.stopped.wait(UNRESPONSIVE_RETRY_S)
+
+    def _find_partial_texts(self) -> None:
+        """Ask the sidecars for partial text of a new lot's samples."""
+        for lot in self.owned.open():
+            if lot.partial_texts_requested:
+                continue
+            lot.partial_texts_requested = True
+            with self.owned.lock:
+                wanted = tuple(
+                    name
+                    for name, state in lot.tracker.states.items()
+                    if state.phase is Phase.WAITING and not state.events
+                )
+            views = list(self._eligible_views().values())
+            min_version = lot.tracker.lot.min_version
+            asks = [
+                (
+                    view.member,
+                    Find(*self.peers.sender_fields, wanted, min_version, view.member.endpoint),
+                )
+                for view in views
+            ]
+            replies = self.peers.ask_members(asks, FIND_TIMEOUT_S)
+            for view in views:
+                self._submit_found(lot, view, replies.get(view.member.name))
+
+    def _submit_found(self, lot: OwnedLot, view: RunnerView, reply: AnyReply | None) -> None:
+        """Send samples to the sidecar that has their partial text."""
+        if not isinstance(reply, Found):
+            return
+        self.updates.record_status(view, reply.status)
+        with self.owned.lock:
+            samples = [
+                name
+                for name in reply.samples
+                if lot.tracker.states[name].phase is Phase.WAITING
+                and self.crash_guard.may_run_anywhere(lot, name)
+            ]
+        if samples:
+            log_state(
+                "partial_text_found",
+                lot=lot.lot_id,
+                sidecar=view.member.name,
+                samples=reply.samples,
+            )
+            self._submit(view, [(lot, name) for name in samples])
+
+    def _send_waiting(self) -> None:
+        """Send waiting samples to sidecars with free slots."""
+        threads = [
+            threading.Thread(target=self._submit, args=(self.views[name], batch), daemon=True)
+            for name, batch in self._batches().items()
+        ]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join(ASK_TIMEOUT_S)
+
+    def _batches(self) -> dict[str, list[tuple[OwnedLot, str]]]:
+        """Return the waiting samples by the sidecar chosen for each."""
+        now = self.clock.now()
+        views = list(self._eligible_views().values())
+        batches: dict[str, list[tuple[OwnedLot, str]]] = {}
+        for lot in self.owned.open():
+            request = lot.tracker.lot
+            with self.owned.lock:
+                waiting = [(one.sample.id, one.last_runner) for one in lot.tracker.waiting(now)]
+            for name, avoid in waiting:
+                data_centre = self.peers.data_centre
+                allowed = self.crash_guard.allowed_runners(lot, name, views)
+                view = choose_runner(
+                    allowed, request.model, request.min_version, data_centre, avoid, now
+                )
+                if view is None and allowed is views:
+                    break
+                if view is None or not self.crash_guard.admit(lot, name, view.member.name, now):
+                    continue
+                view.assigned += 1
+                batches.setdefault(view.member.name, []).append((lot, name))
+        return batches
+
+    def _submit(self, view: RunnerView, batch: list[tuple[OwnedLot, str]]) -> None:
+        """Send samples to one sidecar and record which it accepted."""
+        name = view.member.name
+        with self.owned.lock:
+            orders = tuple(self._assign(lot, sample, name) for lot, sample in batch)
+        facts = self.peers.facts_for(view.member)
+        ask = Submit(*self.peers.sender_fields, facts, orders, view.member.endpoint)
+        reply = self.peers.ask(view.member.address, ask, ASK_TIMEOUT_S)
+        now = self.clock.now()
+        taken: dict[str, str] = {}
+        pause = UNRESPONSIVE_RETRY_S
+        if isinstance(reply, Accepted):
+            self.updates.record_status(view, reply.status)
+            taken = reply.samples
+            pause = REFUSED_RETRY_S
+        self._record_submitted(name, batch, taken, now + pause)
+        for lot in {id(lot): lot for lot, _ in batch if lot.tracker.ended}.values():
+            self.drop(lot, let_finish=False)  # it ended while they were being sent
+
+    def _record_submitted(
+        self, name: str, batch: list[tuple[OwnedLot, str]], taken: dict[str, str], retry_at: float
+    ) -> None:
+        """Record which samples a sidecar accepted; the others wait until ``retry_at``."""
+        refused = [(lot, sample) for lot, sample in batch if sample not in taken]
+        with self.owned.lock:
+            for lot, sample in batch:
+                if sample in taken:
+                    lot.tracker.accepted(sample, name, taken[sample])
+            for lot, sample in refused:
+                lot.tracker.return_to_queue(sample, name, retry_at)
+        log_state("samples_sent", sidecar=name, taken=sorted(taken), refused=len(refused))
+
+    def _assign(self, lot: OwnedLot, sample: str, runner: str) -> RunOrder:
+        """Assign a sample to a sidecar and return the order to send."""
+        tracker = lot.tracker
+        state = tracker.states[sample]
+        tracker.assign(sample, runner)
+        return RunOrder(
+            sample=state.sample,
+            host=tracker.lot.host,
+            min_version=tracker.lot.min_version,
+            one_version=tracker.rules.one_version,
+            after=len(state.events),
+            lineage=state.lineage if state.events else "",
+            new_lineage=secrets.token_hex(4),
+            due=tracker.rules.due - self.clock.now(),
+            give_up_in_s=tracker.rules.give_up_at - self.clock.now(),
+            rank=lot.stored.head.rank,
+            model=tracker.lot.model,
+            organisation=tracker.lot.organisation,
+        )
+
+    def _take_back(self, view: RunnerView, known_events: dict[str, int]) -> None:
+        """Stop samples at a sidecar and collect their last events."""
+        self._drop(view, known_events, let_finish=False)
+
+    def _drop(self, view: RunnerView, known_events: dict[str, int], let_finish: bool) -> None:
+        """Drop samples at a sidecar and collect their last events."""
+        ask = Drop(*self.peers.sender_fields, known_events, let_finish, view.member.endpoint)
+        reply = self.peers.ask(view.member.address, ask, ASK_TIMEOUT_S)
+        if isinstance(reply, Updates):
+            self.updates.record_status(view, reply.status)
+            self.updates.apply_updates(view, self.owned.open(), reply)
+
+
+__all__ = ["SampleDispatcher"]
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -138,14 +138,14 @@
         with self.owned.lock:
             phases: dict[str, int] = {}
             runners: dict[str, int] = {}
-            for state in owned.book.states.values():
+            for state in owned.tracker.states.values():
                 phases[state.phase.value] = phases.get(state.phase.value, 0) + 1
                 if state.runner:
                     runners[state.runner] = runners.get(state.runner, 0) + 1
-            ago_s = round(self.clock.now() - owned.sure_at, 2)
+            ago_s = round(self.clock.now() - owned.ownership_confirmed_at, 2)
         yield Fact("samples by phase", str(phases), "own lots", 0.0)
         yield Fact("samples by runner", str(runners), "own lots", 0.0)
-        listed = f"{owned.kept.head.listed} at revision {owned.kept.revision}"
+        listed = f"{owned.stored.head.listed} at revision {owned.stored.revision}"
         yield Fact("listed", listed, "the store", ago_s if ago_s < 1e6 else None)
 
     def member(self, name: str) -> Iterable[Fact]:
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -39,7 +39,7 @@
 BEATS = "src/threadramp/gateway/beats.py"
 CONFIGURATION = "src/threadramp/gateway/configuration.py"
 HEADERS = "src/threadramp/platform/headers.py"
-NAMES = "src/threadramp/lots/names.py"
+NAMES = "src/threadramp/lots/scoped_ids.py"
 HEADS = "src/threadramp/edge/heads.py"
 REPORTS = "src/threadramp/duties/usage_reports.py"
 RIGHTS = "src/threadramp/fleet/fenced_lock.py"
@@ -328,18 +328,19 @@
     ),
     Removal.of_one(
         "what is reported is fixed first",
-        "write_that_is_done_late_changes_no_report",
+        "late_write_changes_no_report",
         REPORTS,
         "key: ABSENT}",
         "}",
     ),
     Removal(
         "the proof of the right before each call",
-        "holder_that_stood_still_sends_nothing",
+        "suspended_holder_sends_nothing",
         (
             Edit(
                 REPORTS,
-                "        if not self.proof.is_there(self.number):\n            return\n",
+                "        if not self.verification.verify(self.fencing_token):\n"
+                "            return\n",
                 "",
             ),
             Edit(LATE_BYTES, "    if not may_send():\n", "    if False:\n"),
