--- a/src/threadramp/cli/believe.py
+++ b/src/threadramp/cli/believe.py
@@ -9,7 +9,7 @@
 from cleo.helpers import argument, option
 
 from threadramp.cli.api import ExitCode, command, fail
-from threadramp.report.beliefs import KINDS
+from threadramp.report.inspect_handler import KINDS
 from threadramp.wire.fleet import Acquit, Believed, Fact, Inspect, decode_reply
 from threadramp.wire.packing import Packing
 from threadramp.wire.sync import SyncClient
--- a/src/threadramp/cli/report.py
+++ b/src/threadramp/cli/report.py
@@ -134,9 +134,11 @@
 def _notes(log: DayLog) -> list[str]:
     """Return what stands beside the table."""
     notes = []
-    if log.store_away:
-        longest = max(away.seconds for away in log.store_away)
-        notes.append(f"the store was away {len(log.store_away)} times, {longest:.1f} s at the most")
+    if log.store_outages:
+        longest = max(away.duration_s for away in log.store_outages)
+        notes.append(
+            f"the store was away {len(log.store_outages)} times, {longest:.1f} s at the most"
+        )
     if log.unreadable:
         notes.append(f"{log.unreadable} lines could not be read")
     return notes
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -192,9 +192,9 @@
         else:
             outcome = self.forwarder.run(job)
         took = self.clock.now() - started
-        self.metrics.latency(route.name, took)
+        self.metrics.record_latency(route.name, took)
         if outcome.first_event_s is not None:
-            self.metrics.latency(f"{route.name} first event", outcome.first_event_s)
+            self.metrics.record_latency(f"{route.name} first event", outcome.first_event_s)
         self.metrics.count("answer", outcome.ending.value)
         self._pass_on(request, outcome, route, took, who)
 
--- a/src/threadramp/gateway/resources.py
+++ b/src/threadramp/gateway/resources.py
@@ -165,7 +165,9 @@
             return result
         finally:
             known = label in RANKS or self.state.chain.get("priority", label) is not None
-            self.state.metrics.latency(label if known else OTHER_CLASS, now() - request.arrived)
+            self.state.metrics.record_latency(
+                label if known else OTHER_CLASS, now() - request.arrived
+            )
             if label == DEFAULT_CLASS:
                 self.state.record_burn("interactive", int(answered), int(not answered))
 
--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -70,7 +70,7 @@
         started = self.clock.now()
         try:
             grown = self.journal.append(lot.kept, chunk)
-            self.metrics.latency("append", self.clock.now() - started)
+            self.metrics.record_latency("append", self.clock.now() - started)
         except (NotOwnerError, LotMissingError) as error:
             log_state("lot_changed_hands", lot=lot.lot_id, error=str(error))
             self.on_other_owner(lot)
--- a/src/threadramp/report/day.py
+++ b/src/threadramp/report/day.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class TakenLot:
+class AcceptedLot:
     """A lot as its first gateway took it.
 
     :param due_s: seconds after its hand-in at which its results are due
@@ -54,11 +54,11 @@
 
 
 @dataclass(frozen=True)
-class StoreAway:
+class StoreOutage:
     """A time without an answer of the store, as one process saw it."""
 
-    until: float
-    seconds: float
+    ended_at: float
+    duration_s: float
 
 
 class DayLog:
@@ -66,9 +66,9 @@
 
     def __init__(self) -> None:
         self.answers: list[DayEvent] = []
-        self.lots: dict[str, TakenLot] = {}
+        self.lots: dict[str, AcceptedLot] = {}
         self.listings: list[tuple[str, float, int]] = []
-        self.store_away: list[StoreAway] = []
+        self.store_outages: list[StoreOutage] = []
         self.store_calls: Counter[tuple[str, str]] = Counter()
         self.runs = LotRuns()
         self.organisations = OrganisationShares()
@@ -157,7 +157,9 @@
 
 def _take_lot(log: DayLog, at: float, row: dict[str, Any]) -> None:
     due_s = row.get("due_s", 0.0)
-    log.lots.setdefault(row["lot"], TakenLot(at, due_s, row.get("model", ""), row.get("step", 0)))
+    log.lots.setdefault(
+        row["lot"], AcceptedLot(at, due_s, row.get("model", ""), row.get("step", 0))
+    )
 
 
 def _take_listing(log: DayLog, at: float, row: dict[str, Any]) -> None:
@@ -165,7 +167,7 @@
 
 
 def _take_return(log: DayLog, at: float, row: dict[str, Any]) -> None:
-    log.store_away.append(StoreAway(at, row["away_s"]))
+    log.store_outages.append(StoreOutage(at, row["away_s"]))
 
 
 def _take_calls(log: DayLog, at: float, row: dict[str, Any]) -> None:
@@ -192,4 +194,4 @@
     "run_ended": _take_run,
 }
 
-__all__ = ["DayEvent", "DayLog", "StoreAway", "TakenLot"]
+__all__ = ["DayEvent", "DayLog", "StoreOutage", "AcceptedLot"]
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_inspector.py
@@ -18,10 +18,10 @@
     from threadramp.fleet.mirror import Mirror
     from threadramp.fleet.peers import Peers
     from threadramp.lots.owned import OwnedLots
-    from threadramp.report.beliefs import Beliefs
+    from threadramp.report.inspect_handler import InspectHandler
 
 
-class GatewayBeliefs:
+class GatewayInspector:
     """What a gateway believes, from its picture, its lots and what it saw of endpoints itself."""
 
     def __init__(
@@ -38,15 +38,15 @@
         self.owned = owned
         self.clock = clock
 
-    def added_to(self, beliefs: Beliefs) -> Beliefs:
+    def register_with(self, beliefs: InspectHandler) -> InspectHandler:
         """Return what answers, told of all kinds that a gateway knows."""
-        beliefs.add("configuration", self.configuration)
-        beliefs.add("duty", self.duty)
-        beliefs.add("endpoint", self.endpoint)
-        beliefs.add("lot", self.lot)
-        beliefs.add("member", self.member)
-        beliefs.add("organisation", self.organisation)
-        beliefs.add("request", self.request)
+        beliefs.register("configuration", self.configuration)
+        beliefs.register("duty", self.duty)
+        beliefs.register("endpoint", self.endpoint)
+        beliefs.register("lot", self.lot)
+        beliefs.register("member", self.member)
+        beliefs.register("organisation", self.organisation)
+        beliefs.register("request", self.request)
         return beliefs
 
     def configuration(self, name: str) -> Iterable[Fact]:
@@ -193,4 +193,4 @@
     return source, None if at is None else round(now - at, 2)
 
 
-__all__ = ["GatewayBeliefs"]
+__all__ = ["GatewayInspector"]
--- a/src/threadramp/report/beliefs.py
+++ b/src/threadramp/report/inspect_handler.py
@@ -16,20 +16,20 @@
 KINDS = ("configuration", "duty", "endpoint", "lot", "member", "organisation", "request")
 
 
-class Beliefs:
+class InspectHandler:
     """Answers what one process believes; its functions are called with the name that is asked."""
 
     def __init__(self) -> None:
         self.by_kind: dict[str, list[Callable[[str], Iterable[Fact]]]] = {}
 
-    def add(self, kind: str, tell: Callable[[str], Iterable[Fact]]) -> None:
+    def register(self, kind: str, tell: Callable[[str], Iterable[Fact]]) -> None:
         """Let a function tell of a kind."""
         self.by_kind.setdefault(kind, []).append(tell)
 
-    def answer(self, ask: Inspect) -> Believed:
+    def handle(self, ask: Inspect) -> Believed:
         """Return all that is believed of the thing that is asked about."""
         rows = [fact for tell in self.by_kind.get(ask.kind, ()) for fact in tell(ask.name)]
         return Believed(tuple(rows))
 
 
-__all__ = ["KINDS", "Beliefs"]
+__all__ = ["KINDS", "InspectHandler"]
--- a/src/threadramp/report/lot_times.py
+++ b/src/threadramp/report/lot_times.py
@@ -12,7 +12,7 @@
     from collections.abc import Iterable, Sequence
 
 COLUMNS = f"{'lot':18} {'model':14} {'step':>5} {'wait s':>7} {'listed s':>9} {'due s':>6}"
-MOST_CAUSES = 20  # lines of the table of calls; the rest is summed
+MAX_CAUSES = 20  # lines of the table of calls; the rest is summed
 
 
 @dataclass(frozen=True)
@@ -63,8 +63,8 @@
     """Return a table of calls to the store by cause and role, the most frequent first."""
     lines = [f"{'calls to the store':30} {'role':10} {'number':>8}"]
     rows = calls.most_common()
-    lines += [f"{cause:30} {role:10} {number:8d}" for (cause, role), number in rows[:MOST_CAUSES]]
-    rest = sum(number for _, number in rows[MOST_CAUSES:])
+    lines += [f"{cause:30} {role:10} {number:8d}" for (cause, role), number in rows[:MAX_CAUSES]]
+    rest = sum(number for _, number in rows[MAX_CAUSES:])
     if rest:
         lines.append(f"{'others':30} {'':10} {rest:8d}")
     return "\n".join(lines)
--- a/src/threadramp/report/metrics.py
+++ b/src/threadramp/report/metrics.py
@@ -43,7 +43,7 @@
         """Count events."""
         self.events.labels(kind, label).inc(amount)
 
-    def latency(self, label: str, seconds: float) -> None:
+    def record_latency(self, label: str, seconds: float) -> None:
         """Record how long something of a class took."""
         with self.lock:
             histogram = self.latencies.get(label)
--- a/src/threadramp/report/call_tally.py
+++ b/src/threadramp/report/store_call_counter.py
@@ -19,7 +19,7 @@
 METRIC = "store_call"
 
 
-class CallTally:
+class StoreCallCounter:
     """Counts by cause, such as ``watch op`` or ``write lot``.
 
     :param role: of the process
@@ -36,13 +36,13 @@
         """Start writing lines."""
         start_loop(self._run, self.stopped)
 
-    def note(self, cause: str) -> None:
+    def record(self, cause: str) -> None:
         """Count a call."""
         self.metrics.count(METRIC, cause)
         with self.lock:
             self.counts[cause] += 1
 
-    def tell(self) -> None:
+    def log_counts(self) -> None:
         """Write what was counted since the last line."""
         with self.lock:
             counts, self.counts = self.counts, Counter()
@@ -51,7 +51,7 @@
 
     def _run(self) -> None:
         while not self.stopped.wait(LINE_EACH_S):
-            self.tell()
+            self.log_counts()
 
 
-__all__ = ["CallTally"]
+__all__ = ["StoreCallCounter"]
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -199,7 +199,7 @@
         if not self.table.finish(self.run, self.generation, outcome):
             return
         self.metrics.count("sample_ended", outcome.value)
-        self.metrics.latency("sample", self.clock.now() - self.started_at)
+        self.metrics.record_latency("sample", self.clock.now() - self.started_at)
         log_state(
             "sample_ended",
             sample=self.run.order.sample.id,
--- a/src/threadramp/runner/sidecar.py
+++ b/src/threadramp/runner/sidecar.py
@@ -37,7 +37,7 @@
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.relaying import StoreRelay
     from threadramp.platform.store_model import Call, RawAnswer
-    from threadramp.report.beliefs import Beliefs
+    from threadramp.report.inspect_handler import InspectHandler
     from threadramp.report.metrics import Metrics
     from threadramp.runner.engine import Engine
     from threadramp.runner.runs import RunTable
@@ -79,7 +79,7 @@
         self.relisted_at = clock.now()
         self.on_unlisted: Callable[[], None] = lambda: None
         self.store_relay: StoreRelay | None = None
-        self.beliefs: Beliefs | None = None
+        self.beliefs: InspectHandler | None = None
         self.stall_check_at: float | None = None
         engine.set_counter(metrics.count)
         engine.on_suspect_connections = self._schedule_stall_check
@@ -148,7 +148,7 @@
         if isinstance(ask, CallStore) and self.store_relay is not None:
             return self.store_relay.answer(ask)
         if isinstance(ask, Inspect) and self.beliefs is not None:
-            return self.beliefs.answer(ask)
+            return self.beliefs.handle(ask)
         return Status(self.status()) if isinstance(ask, (Beat, HurryLoad)) else Done()
 
     def _is_ready(self) -> bool:
--- a/src/threadramp/serve/answers.py
+++ b/src/threadramp/serve/answers.py
@@ -6,7 +6,7 @@
 
 from threadramp.lots.journal import LotMissingError
 from threadramp.platform.store_model import StoreError
-from threadramp.report.beliefs import Beliefs
+from threadramp.report.inspect_handler import InspectHandler
 from threadramp.report.log import log_state
 from threadramp.wire.fleet import (
     Acquit,
@@ -59,11 +59,11 @@
         reader: LotReader,
         store_calls: StoreRelay,
         hosting: HostedRunners | None = None,
-        beliefs: Beliefs | None = None,
+        beliefs: InspectHandler | None = None,
         crashes: CrashSharing | None = None,
         duties: Duties | None = None,
     ) -> None:
-        self.beliefs = beliefs or Beliefs()
+        self.beliefs = beliefs or InspectHandler()
         self.hosting = hosting
         self.peers = peers
         self.owner = owner
@@ -78,7 +78,7 @@
             EndLot: self._end,
             EndKept: self._end_kept,
             Adopt: self._adopt,
-            Inspect: self.beliefs.answer,
+            Inspect: self.beliefs.handle,
         }
         if store_calls is not None:
             self.by_kind[CallStore] = store_calls.answer
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -54,11 +54,11 @@
 from threadramp.policy.retries import RetryBudget
 from threadramp.policy.true_time import TrueTime
 from threadramp.policy.usage_schedule import UsageSchedule
-from threadramp.report.beliefs import Beliefs
-from threadramp.report.call_tally import CallTally
-from threadramp.report.gateway_beliefs import GatewayBeliefs
+from threadramp.report.gateway_inspector import GatewayInspector
+from threadramp.report.inspect_handler import InspectHandler
 from threadramp.report.log import log_state
 from threadramp.report.metrics import Metrics
+from threadramp.report.store_call_counter import StoreCallCounter
 from threadramp.runner.hosting import HostedRunners
 from threadramp.serve.answers import GatewayAnswers
 from threadramp.serve.api import ROLES, Process, in_background
@@ -155,9 +155,9 @@
         health = StoreHealth(clock)
         client = SyncClient(Packing(), decode_reply, redial=True)
         self.peers = Peers(self.member, self.picture, client, health, clock)
-        tally = CallTally(self.metrics, "gateway")
+        tally = StoreCallCounter(self.metrics, "gateway")
         tally.start()
-        store = StoreClient(own.store.address, self.peers.relay, health.observe, count=tally.note)
+        store = StoreClient(own.store.address, self.peers.relay, health.observe, count=tally.record)
         self.membership = Membership(self.member, store, own.store.lease_min_s)
         self.membership.renew_s = self._renew_s
         self.peers.on_unlisted = self.membership.mark_unlisted
@@ -229,11 +229,11 @@
         window_s = own.bounds.usage_window_s
         return UsageCounting(window_s, self.true_time, own.name, self.incarnation)
 
-    def _beliefs(self, clock: Clock) -> Beliefs:
+    def _beliefs(self, clock: Clock) -> InspectHandler:
         """Return what tells an operator what this process believes."""
-        own = GatewayBeliefs(self.picture, self.peers, self.forwarder, self.owner.owned, clock)
-        beliefs = own.added_to(Beliefs())
-        beliefs.add("endpoint", self.hosting.inspect)
+        own = GatewayInspector(self.picture, self.peers, self.forwarder, self.owner.owned, clock)
+        beliefs = own.register_with(InspectHandler())
+        beliefs.register("endpoint", self.hosting.inspect)
         return beliefs
 
     def _note_silence(self) -> None:
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -13,9 +13,9 @@
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store import StoreClient
 from threadramp.policy.renewals import renewal_interval_s
-from threadramp.report.beliefs import Beliefs
-from threadramp.report.call_tally import CallTally
+from threadramp.report.inspect_handler import InspectHandler
 from threadramp.report.metrics import Metrics
+from threadramp.report.store_call_counter import StoreCallCounter
 from threadramp.runner.engine import Engine
 from threadramp.runner.engine_lock import make_engine_lock
 from threadramp.runner.inspector import RunnerInspector
@@ -53,9 +53,9 @@
             clock, silence_limit_s=math.inf
         )  # renewals of large fleets are 9 s apart
         client = SyncClient(Packing(), decode_reply, redial=True)
-        tally = CallTally(self.metrics, "sidecar")
+        tally = StoreCallCounter(self.metrics, "sidecar")
         tally.start()
-        store = StoreClient(own.store.address, self._relay, health.observe, count=tally.note)
+        store = StoreClient(own.store.address, self._relay, health.observe, count=tally.record)
         engine = Engine(own.endpoint, own.pool, own.name, clock)
         apart_s = own.bounds.holders_apart_s
         right = make_engine_lock(store, own.endpoint, own.name, apart_s, clock)
@@ -68,8 +68,8 @@
         )
         self.sidecar.on_unlisted = self.membership.mark_unlisted
         self.sidecar.store_relay = StoreRelay(store, health)
-        beliefs = Beliefs()
-        beliefs.add("endpoint", RunnerInspector(self.sidecar).endpoint)
+        beliefs = InspectHandler()
+        beliefs.register("endpoint", RunnerInspector(self.sidecar).endpoint)
         self.sidecar.beliefs = beliefs
         self.server = SyncServer(address, Packing(), self.sidecar.handle, THREADS, decode_ask)
         self.membership.start()
--- a/tests/report/test_day.py
+++ b/tests/report/test_day.py
@@ -59,7 +59,7 @@
 
 def test_times_without_the_store_are_collected(log):
     log.read([line("store_regained", 5.0, away_s=4.2)])
-    assert [away.seconds for away in log.store_away] == [4.2]
+    assert [outage.duration_s for outage in log.store_outages] == [4.2]
 
 
 def test_the_report_is_shown_as_text_and_page(log):
--- a/tests/report/test_lot_times.py
+++ b/tests/report/test_lot_times.py
@@ -9,7 +9,7 @@
 from tests.report.test_day import line
 from threadramp.cli.report import ReportDayCommand
 from threadramp.report.day import DayLog
-from threadramp.report.lot_times import MOST_CAUSES, call_text, lot_text
+from threadramp.report.lot_times import MAX_CAUSES, call_text, lot_text
 
 DAY = [
     line("lot_taken", 0.0, lot="a", due_s=7.5, samples=2, model="m", step=3),
@@ -50,7 +50,7 @@
 
 
 def test_rare_causes_are_summed():
-    calls = Counter({(f"read k{n}", "gateway"): 1 for n in range(MOST_CAUSES + 3)})
+    calls = Counter({(f"read k{n}", "gateway"): 1 for n in range(MAX_CAUSES + 3)})
     assert call_text(calls).splitlines()[-1].split() == ["others", "3"]
 
 
--- a/tests/report/test_call_tally.py
+++ b/tests/report/test_store_call_counter.py
@@ -4,20 +4,20 @@
 
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Put, StoreError, Transaction
-from threadramp.report import call_tally
-from threadramp.report.call_tally import CallTally
+from threadramp.report import store_call_counter
 from threadramp.report.metrics import Metrics
+from threadramp.report.store_call_counter import StoreCallCounter
 
 
 def test_calls_are_counted_and_told_once(monkeypatch):
     told = []
-    monkeypatch.setattr(call_tally, "log_state", lambda what, **fields: told.append(fields))
+    monkeypatch.setattr(store_call_counter, "log_state", lambda what, **fields: told.append(fields))
     metrics = Metrics("t")
-    tally = CallTally(metrics, "gateway")
+    counter = StoreCallCounter(metrics, "gateway")
     for cause in ("write lot", "write lot", "watch op"):
-        tally.note(cause)
-    tally.tell()
-    tally.tell()
+        counter.record(cause)
+    counter.log_counts()
+    counter.log_counts()
     assert told == [{"role": "gateway", "calls": {"write lot": 2, "watch op": 1}}]
     assert b'kind="store_call",label="write lot"} 2.0' in metrics.text()
 
