--- a/src/threadramp/report/__init__.py
+++ b/src/threadramp/report/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, histograms and the service-level burn report."""
+"""Logs, metrics, reports on error budget burn, and facts for an operator's ``Inspect`` request."""
--- a/src/threadramp/report/day.py
+++ b/src/threadramp/report/day.py
@@ -1,8 +1,8 @@
 """Reads the logs of the platform's processes and counts good and bad events of each objective.
 
-A caller's request is good if it was answered with success within the target of its route, a sample
-if it was listed by the time at which its lot was due. So one sees when a day's error budget was
-spent, and beside it when the store was away.
+A caller's request is good if it was answered with success within the target latency of its route. A
+sample is good if it was listed by the time at which its lot was due. The report shows when a day's
+error budget was spent and, for comparison, when the store was unreachable.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-KIND_PREFIX = "threadramp:"
+MESSAGE_TYPE_PREFIX = "threadramp:"
 FIRST_FAILURE_STATUS = 400
-SAMPLES = "samples in time"
+SAMPLES_OBJECTIVE = "samples in time"
 
 
 @dataclass(frozen=True)
 class DayEvent:
-    """Good and bad events of an objective at one moment.
+    """Good and bad events of an objective at one time.
 
-    :param at: seconds of the time of day
+    :param at: seconds since the epoch
     """
 
     objective: str
@@ -42,9 +42,10 @@
 
 @dataclass(frozen=True)
 class AcceptedLot:
-    """A lot as its first gateway took it.
+    """A lot as it was accepted by its first gateway.
 
-    :param due_s: seconds after its hand-in at which its results are due
+    :param at: time at which it was accepted, in seconds since the epoch
+    :param due_s: seconds after that time until its results are due
     """
 
     at: float
@@ -55,17 +56,20 @@
 
 @dataclass(frozen=True)
 class StoreOutage:
-    """A time without an answer of the store, as one process saw it."""
+    """A period in which one process got no response from the store.
+
+    :param ended_at: seconds since the epoch
+    """
 
     ended_at: float
     duration_s: float
 
 
 class DayLog:
-    """Collects what counts from the lines of all processes, in any order."""
+    """Collects the events for the report from the log lines of all processes, in any order."""
 
     def __init__(self) -> None:
-        self.answers: list[DayEvent] = []
+        self.route_events: list[DayEvent] = []
         self.lots: dict[str, AcceptedLot] = {}
         self.listings: list[tuple[str, float, int]] = []
         self.store_outages: list[StoreOutage] = []
@@ -76,7 +80,7 @@
         self.last_at = 0.0
 
     def read(self, lines: Iterable[str]) -> None:
-        """Take lines; what stands before the first brace, such as a box's name, is passed over."""
+        """Read log lines; a prefix before the first brace, such as a box's name, is ignored."""
         for line in lines:
             start = line.find("{")
             if start < 0:
@@ -84,19 +88,19 @@
             try:
                 row = msgspec.json.decode(line[start:])
             except msgspec.DecodeError:
-                self.unreadable += 1  # told in the report
+                self.unreadable += 1  # the report states the number
                 continue
             if isinstance(row, dict) and "timestamp" in row:
-                self._take(row)
+                self._handle(row)
 
     def events(self) -> list[DayEvent]:
-        """Return all events in the order of their times."""
-        return sorted([*self.answers, *self._sample_events()], key=lambda event: event.at)
+        """Return all events, earliest first."""
+        return sorted([*self.route_events, *self._sample_events()], key=lambda event: event.at)
 
     def records(self, target: float) -> list[ObjectiveRecord]:
-        """Return the events by objective, with their ages at the end of the day.
+        """Return the events by objective, with their ages at the time of the last line.
 
-        :param target: share of events that should be good
+        :param target: target share of good events
         """
         points: dict[str, list[BurnPoint]] = {}
         for event in self.events():
@@ -111,7 +115,7 @@
         return self.last_at - events[0].at if events else 0.0
 
     def lot_times(self) -> list[LotTimes]:
-        """Return what became of each lot, in the order of their hand-in."""
+        """Return the times of each lot, in the order of submission."""
         listed: dict[str, float] = {}
         for lot_id, at, _ in self.listings:
             listed[lot_id] = max(at, listed.get(lot_id, at))
@@ -127,71 +131,73 @@
             for lot_id, lot in sorted(self.lots.items(), key=lambda item: item[1].at)
         ]
 
-    def _take(self, row: dict[str, Any]) -> None:
+    def _handle(self, row: dict[str, Any]) -> None:
         at = row["timestamp"]
         self.last_at = max(self.last_at, at)
-        kind = str(row.get("message_type", "")).removeprefix(KIND_PREFIX)
-        taker = _TAKERS.get(kind)
-        if taker is not None:
-            taker(self, at, row)
+        event = str(row.get("message_type", "")).removeprefix(MESSAGE_TYPE_PREFIX)
+        handler = _HANDLERS.get(event)
+        if handler is not None:
+            handler(self, at, row)
 
     def _sample_events(self) -> list[DayEvent]:
-        """Return an event for each listing, as good as its samples were in time."""
+        """Return an event for each listing; its samples are good if they were listed in time."""
         found = []
         for lot_id, at, samples in self.listings:
             lot = self.lots.get(lot_id)
             if lot is not None and lot.due_s:
                 in_time = samples * (at <= lot.at + lot.due_s)
-                found.append(DayEvent(SAMPLES, at, float(in_time), float(samples - in_time)))
+                found.append(
+                    DayEvent(SAMPLES_OBJECTIVE, at, float(in_time), float(samples - in_time))
+                )
         return found
 
 
-def _take_answer(log: DayLog, at: float, row: dict[str, Any]) -> None:
+def _handle_answered(log: DayLog, at: float, row: dict[str, Any]) -> None:
     late = bool(row.get("target_ms")) and row["ms"] > row["target_ms"]
     good = row["status"] < FIRST_FAILURE_STATUS and not late
-    log.answers.append(DayEvent(f"route {row['route']}", at, float(good), float(not good)))
+    log.route_events.append(DayEvent(f"route {row['route']}", at, float(good), float(not good)))
     if row.get("organisation"):
         served = row["status"] < FIRST_FAILURE_STATUS
-        log.organisations.note(row["organisation"], served, good)
+        log.organisations.record(row["organisation"], served, good)
 
 
-def _take_lot(log: DayLog, at: float, row: dict[str, Any]) -> None:
+def _handle_lot_taken(log: DayLog, at: float, row: dict[str, Any]) -> None:
     due_s = row.get("due_s", 0.0)
     log.lots.setdefault(
         row["lot"], AcceptedLot(at, due_s, row.get("model", ""), row.get("step", 0))
     )
 
 
-def _take_listing(log: DayLog, at: float, row: dict[str, Any]) -> None:
+def _handle_listed(log: DayLog, at: float, row: dict[str, Any]) -> None:
     log.listings.append((row["lot"], at, len(row["samples"])))
 
 
-def _take_return(log: DayLog, at: float, row: dict[str, Any]) -> None:
+def _handle_store_regained(log: DayLog, at: float, row: dict[str, Any]) -> None:
     log.store_outages.append(StoreOutage(at, row["away_s"]))
 
 
-def _take_calls(log: DayLog, at: float, row: dict[str, Any]) -> None:
+def _handle_store_calls(log: DayLog, at: float, row: dict[str, Any]) -> None:
     for cause, count in row["calls"].items():
         log.store_calls[cause, row["role"]] += count
 
 
-def _take_sent(log: DayLog, at: float, row: dict[str, Any]) -> None:
-    log.runs.sent(at, row["taken"])
+def _handle_samples_sent(log: DayLog, at: float, row: dict[str, Any]) -> None:
+    log.runs.record_sent(at, row["taken"])
 
 
-def _take_run(log: DayLog, at: float, row: dict[str, Any]) -> None:
+def _handle_run_ended(log: DayLog, at: float, row: dict[str, Any]) -> None:
     if row["outcome"] == RunOutcome.COMPLETE.value:
-        log.runs.whole(row["lot"], row["sample"], row["events"])
+        log.runs.record_complete(row["lot"], row["sample"], row["events"])
 
 
-_TAKERS: dict[str, Callable[[DayLog, float, dict[str, Any]], None]] = {
-    "answered": _take_answer,
-    "lot_taken": _take_lot,
-    "listed": _take_listing,
-    "store_regained": _take_return,
-    "store_calls": _take_calls,
-    "samples_sent": _take_sent,
-    "run_ended": _take_run,
+_HANDLERS: dict[str, Callable[[DayLog, float, dict[str, Any]], None]] = {
+    "answered": _handle_answered,
+    "lot_taken": _handle_lot_taken,
+    "listed": _handle_listed,
+    "store_regained": _handle_store_regained,
+    "store_calls": _handle_store_calls,
+    "samples_sent": _handle_samples_sent,
+    "run_ended": _handle_run_ended,
 }
 
-__all__ = ["DayEvent", "DayLog", "StoreOutage", "AcceptedLot"]
+__all__ = ["AcceptedLot", "DayEvent", "DayLog", "StoreOutage"]
--- a/src/threadramp/report/gateway_inspector.py
+++ b/src/threadramp/report/gateway_inspector.py
@@ -1,4 +1,4 @@
-"""What a gateway tells an operator of what it believes."""
+"""Facts that a gateway knows, for an operator's ``Inspect`` request."""
 
 from __future__ import annotations
 
@@ -22,47 +22,53 @@
 
 
 class GatewayInspector:
-    """What a gateway believes, from its picture, its lots and what it saw of endpoints itself."""
+    """Reports what a gateway knows from its fleet view, its lots and its own requests to endpoints.
+
+    Each method yields the facts about one object of a kind.
+    """
 
     def __init__(
         self,
-        picture: FleetView,
+        fleet_view: FleetView,
         peers: Peers,
         access: EndpointAccess,
-        owned: OwnedLots,
+        owned_lots: OwnedLots,
         clock: Clock,
     ) -> None:
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.peers = peers
         self.access = access
-        self.owned = owned
+        self.owned_lots = owned_lots
         self.clock = clock
 
-    def register_with(self, beliefs: InspectHandler) -> InspectHandler:
-        """Return what answers, told of all kinds that a gateway knows."""
-        beliefs.register("configuration", self.configuration)
-        beliefs.register("duty", self.duty)
-        beliefs.register("endpoint", self.endpoint)
-        beliefs.register("lot", self.lot)
-        beliefs.register("member", self.member)
-        beliefs.register("organisation", self.organisation)
-        beliefs.register("request", self.request)
-        return beliefs
+    def register_with(self, handler: InspectHandler) -> InspectHandler:
+        """Register a source of facts for each kind that a gateway knows, and return the handler."""
+        handler.register("configuration", self.configuration)
+        handler.register("duty", self.duty)
+        handler.register("endpoint", self.endpoint)
+        handler.register("lot", self.lot)
+        handler.register("member", self.member)
+        handler.register("organisation", self.organisation)
+        handler.register("request", self.request)
+        return handler
 
     def configuration(self, name: str) -> Iterable[Fact]:
-        """Tell which version is believed, whatever name is given, and since when it was current."""
-        mirror = self.picture.operator
-        source, ago_s = _heard(mirror, CONFIGURATION_KEY, self.clock.now())
-        spoiled = self.picture.decode_cache.unreadable.get(CONFIGURATION_KEY)
-        if spoiled is not None:
-            yield Fact("newest", f"unreadable: {spoiled.reason}", source, ago_s)
-        found = self.picture.snapshot.configuration
+        """Yield the configuration version in use, and when it was last known to be the newest.
+
+        :param name: ignored; there is only one configuration
+        """
+        mirror = self.fleet_view.operator
+        source, ago_s = _last_update(mirror, CONFIGURATION_KEY, self.clock.now())
+        unreadable = self.fleet_view.decode_cache.unreadable.get(CONFIGURATION_KEY)
+        if unreadable is not None:
+            yield Fact("newest", f"unreadable: {unreadable.reason}", source, ago_s)
+        found = self.fleet_view.snapshot.configuration
         if found is None:
             yield Fact("version", "none yet", source, ago_s)
             return
         yield Fact("version", str(found.version), source, ago_s)
-        age_s = self.picture.configuration_age_s(self.clock.now())
-        yield Fact("nothing newer stood", "then", "the store", _finite(age_s))
+        age_s = self.fleet_view.configuration_age_s(self.clock.now())
+        yield Fact("nothing newer stood", "then", "the store", _rounded_or_none(age_s))
         if found.organisations is None:
             yield Fact("organisations", "none are named: anybody may call", source, ago_s)
             return
@@ -71,9 +77,9 @@
             yield Fact("fault", fault, source, ago_s)
 
     def organisation(self, name: str) -> Iterable[Fact]:
-        """Tell of an organisation; never of its keys, but how many it holds."""
-        source, ago_s = _heard(self.picture.operator, CONFIGURATION_KEY, self.clock.now())
-        configuration = self.picture.snapshot.configuration
+        """Yield facts about an organisation; of its keys only their number, never the keys."""
+        source, ago_s = _last_update(self.fleet_view.operator, CONFIGURATION_KEY, self.clock.now())
+        configuration = self.fleet_view.snapshot.configuration
         known = configuration.organisations if configuration is not None else None
         found = known.by_name.get(name) if known is not None else None
         if found is None:
@@ -85,9 +91,12 @@
         yield Fact("priority", priority, source, ago_s)
 
     def duty(self, name: str) -> Iterable[Fact]:
-        """Tell who holds the duties of the fleet, whatever name is given."""
-        source, ago_s = _heard(self.picture.members, DUTIES_KEY, self.clock.now())
-        item = self.picture.members.snapshot().get(DUTIES_KEY)
+        """Yield the holder of the fleet's duties.
+
+        :param name: ignored; one gateway holds all duties
+        """
+        source, ago_s = _last_update(self.fleet_view.members, DUTIES_KEY, self.clock.now())
+        item = self.fleet_view.members.snapshot().get(DUTIES_KEY)
         held = decode_lock_record(item.value) if item is not None else None
         holder = held.holder if held is not None else ""
         yield Fact("holder", holder or "nobody", source, ago_s)
@@ -95,14 +104,19 @@
             yield Fact("number", str(item.revision), source, ago_s)
 
     def endpoint(self, name: str) -> Iterable[Fact]:
-        """Tell of an endpoint by its id or its address."""
-        found = self.picture.snapshot.endpoints.get(name) or self.picture.snapshot.at_address(name)
+        """Yield facts about an endpoint.
+
+        :param name: its id or its address
+        """
+        found = self.fleet_view.snapshot.endpoints.get(name) or self.fleet_view.snapshot.at_address(
+            name
+        )
         instance = found.instance if found is not None else name
-        key = self.picture.endpoints.prefix + instance
-        source, ago_s = _heard(self.picture.endpoints, key, self.clock.now())
-        spoiled = self.picture.decode_cache.unreadable.get(key)
-        if spoiled is not None:
-            yield Fact("entry", f"unreadable: {spoiled.reason}", source, ago_s)
+        key = self.fleet_view.endpoints.prefix + instance
+        source, ago_s = _last_update(self.fleet_view.endpoints, key, self.clock.now())
+        unreadable = self.fleet_view.decode_cache.unreadable.get(key)
+        if unreadable is not None:
+            yield Fact("entry", f"unreadable: {unreadable.reason}", source, ago_s)
         if found is None:
             yield Fact("endpoint", "names nobody here", source, ago_s)
             return
@@ -110,13 +124,13 @@
         yield Fact("pool", f"{found.pool} at {found.address}, {found.data_centre}", source, ago_s)
         yield Fact("slots, leaving", f"{found.slots}, {found.leaving}", source, ago_s)
         yield Fact("revision", str(found.revision), source, ago_s)
-        if key in self.picture.endpoints.retained():
+        if key in self.fleet_view.endpoints.retained():
             yield Fact("removal", "doubted: the store lacks the entry", source, ago_s)
-        yield from self._seen_of(found)
+        yield from self._request_facts(found)
 
-    def _seen_of(self, found: object) -> Iterable[Fact]:
-        """Tell what requests to an endpoint showed."""
-        record = self.access.choice.records.get(found.incarnation)
+    def _request_facts(self, endpoint: object) -> Iterable[Fact]:
+        """Yield what this gateway's own requests to an endpoint have shown."""
+        record = self.access.choice.records.get(endpoint.incarnation)
         if record is None:
             return
         now = self.clock.now()
@@ -130,12 +144,12 @@
             yield Fact("load", load, "its answers", round(now - record.load_at, 2))
 
     def lot(self, name: str) -> Iterable[Fact]:
-        """Tell of a lot that this gateway runs."""
-        owned = self.owned.get(name)
+        """Yield facts about a lot that this gateway runs."""
+        owned = self.owned_lots.get(name)
         if owned is None:
             yield Fact("lot", "is not run here", "own lots", None)
             return
-        with self.owned.lock:
+        with self.owned_lots.lock:
             phases: dict[str, int] = {}
             runners: dict[str, int] = {}
             for state in owned.book.states.values():
@@ -149,46 +163,55 @@
         yield Fact("listed", listed, "the store", ago_s if ago_s < 1e6 else None)
 
     def member(self, name: str) -> Iterable[Fact]:
-        """Tell of a process of ours by the name of its box."""
-        found = self.picture.snapshot.members.get(name)
-        key = self.picture.members.prefix + name
-        source, ago_s = _heard(self.picture.members, key, self.clock.now())
+        """Yield facts about a process in the member list.
+
+        :param name: name of its box
+        """
+        found = self.fleet_view.snapshot.members.get(name)
+        key = self.fleet_view.members.prefix + name
+        source, ago_s = _last_update(self.fleet_view.members, key, self.clock.now())
         if found is None:
             yield Fact("member", "is not listed here", source, ago_s)
             return
         yield Fact("role, process", f"{found.role}, {found.incarnation}", source, ago_s)
         yield Fact("address", f"{found.address}, {found.data_centre}", source, ago_s)
-        heard = self.peers.last_reply_at.get(found.address)
-        if heard is not None:
-            yield Fact("answered", "yes", "own questions", round(self.clock.now() - heard, 2))
+        replied_at = self.peers.last_reply_at.get(found.address)
+        if replied_at is not None:
+            yield Fact("answered", "yes", "own questions", round(self.clock.now() - replied_at, 2))
         if self.peers.unresponsive.is_unresponsive(found):
             yield Fact("answers", "not to the last beats", "own questions", None)
 
     def request(self, name: str) -> Iterable[Fact]:
-        """Tell of a request that is suspected, by its fingerprint as it stands in logs."""
-        book = self.access.guard.book
-        found = book.find(name)
+        """Yield facts about a request that is suspected of crashing endpoints.
+
+        :param name: its short fingerprint, as in the logs
+        """
+        tracker = self.access.guard.book
+        found = tracker.find(name)
         now = self.clock.time_of_day()
         if found is None:
             yield Fact("request", "nothing is held against it", "crash book", None)
             return
-        ruling = book.assess(found.fingerprint, now)
-        yield Fact("verdict", ruling.level.value, "crash book", round(now - found.seen_at, 2))
+        assessment = tracker.assess(found.fingerprint, now)
+        yield Fact("verdict", assessment.level.value, "crash book", round(now - found.seen_at, 2))
         yield Fact("trials made", str(found.trials), "crash book", None)
-        if ruling.retry_after_s:
-            yield Fact("next trial or end in s", f"{ruling.retry_after_s:.1f}", "crash book", None)
+        if assessment.retry_after_s:
+            yield Fact(
+                "next trial or end in s", f"{assessment.retry_after_s:.1f}", "crash book", None
+            )
         for crash in found.standing:
             yield Fact(
                 "endpoint ended", crash.start.instance, "crash book", round(now - crash.at, 2)
             )
 
 
-def _finite(seconds: float) -> float | None:
+def _rounded_or_none(seconds: float) -> float | None:
+    """Return the seconds rounded to two digits, none if they are infinite."""
     return round(seconds, 2) if seconds < float("inf") else None
 
 
-def _heard(mirror: Mirror, key: str, now: float) -> tuple[str, float | None]:
-    """Return by which source a key was last learned, and how long ago."""
+def _last_update(mirror: Mirror, key: str, now: float) -> tuple[str, float | None]:
+    """Return the source of a key's last update, and the seconds since it came."""
     source, at = mirror.source_of(key)
     return source, None if at is None else round(now - at, 2)
 
--- a/src/threadramp/report/guard.py
+++ b/src/threadramp/report/guard.py
@@ -1,4 +1,4 @@
-"""Keeps background loops running when one turn of them fails."""
+"""Restarts background loops that fail with an unexpected error."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def keep_running(loop: Callable[[], None], stopped: threading.Event) -> None:
-    """Run a loop again after an error that it did not foresee, until ``stopped`` is set."""
+    """Run a loop, and restart it after an unexpected error, until ``stopped`` is set."""
     while not stopped.is_set():
         try:
             loop()
-        except Exception as error:  # a dead loop would be worse than any single error
+        except Exception as error:  # a loop that stops for good is worse than any single error
             log_state("loop_failed", loop=loop.__name__, error=repr(error))
             stopped.wait(PAUSE_AFTER_ERROR_S)
 
 
 def start_loop(loop: Callable[[], None], stopped: threading.Event) -> None:
-    """Start a thread that keeps a loop running."""
+    """Start a daemon thread that runs a loop and restarts it after errors."""
     threading.Thread(
         target=keep_running, args=(loop, stopped), name=loop.__name__, daemon=True
     ).start()
--- a/src/threadramp/report/inspect_handler.py
+++ b/src/threadramp/report/inspect_handler.py
@@ -1,7 +1,7 @@
-"""What a process believes of one thing, since when and by which source, for operators.
+"""Answers an operator's ``Inspect`` request: what a process knows about one object of a kind.
 
-Each kind of thing has one function, which a process registers with what it needs; a process that
-knows nothing of a kind says so.
+Each fact names its source and its age. A process registers functions for the kinds that it knows;
+for any other kind the reply holds no facts.
 """
 
 from __future__ import annotations
@@ -17,19 +17,24 @@
 
 
 class InspectHandler:
-    """Answers what one process believes; its functions are called with the name that is asked."""
+    """Answers ``Inspect`` requests with the facts of the functions registered for the kind."""
 
     def __init__(self) -> None:
-        self.by_kind: dict[str, list[Callable[[str], Iterable[Fact]]]] = {}
+        self.sources: dict[str, list[Callable[[str], Iterable[Fact]]]] = {}
 
-    def register(self, kind: str, tell: Callable[[str], Iterable[Fact]]) -> None:
-        """Let a function tell of a kind."""
-        self.by_kind.setdefault(kind, []).append(tell)
+    def register(self, kind: str, source: Callable[[str], Iterable[Fact]]) -> None:
+        """Add a source of facts about a kind.
 
-    def handle(self, ask: Inspect) -> Believed:
-        """Return all that is believed of the thing that is asked about."""
-        rows = [fact for tell in self.by_kind.get(ask.kind, ()) for fact in tell(ask.name)]
-        return Believed(tuple(rows))
+        :param source: is called with the name that the request asks for
+        """
+        self.sources.setdefault(kind, []).append(source)
+
+    def handle(self, request: Inspect) -> Believed:
+        """Return all facts about the requested object."""
+        facts = [
+            fact for source in self.sources.get(request.kind, ()) for fact in source(request.name)
+        ]
+        return Believed(tuple(facts))
 
 
 __all__ = ["KINDS", "InspectHandler"]
--- a/src/threadramp/report/log.py
+++ b/src/threadramp/report/log.py
@@ -1,7 +1,8 @@
-"""Structured logs: one line for each decision that touches a request or changes a belief.
+"""Structured logs: one JSON line for each decision on a request and each change of known state.
 
-Lines go through a bounded buffer to a thread of their own, so that a slow reader of the output
-never holds up the work; what does not fit is counted and said with the next line that does.
+A thread of its own writes the lines from a bounded buffer, so that a slow reader of the output
+never blocks the process. Messages that do not fit are dropped and counted; the count is logged with
+the next lines.
 """
 
 from __future__ import annotations
@@ -18,53 +19,53 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-BUFFER_LINES = 2000  # about a megabyte at 500 bytes a line
-GATHER_S = 0.05  # lines of this time are written with one call
+MAX_BUFFERED_LINES = 2000  # about a megabyte at 500 bytes a line
+BATCH_WAIT_S = 0.05  # lines that arrive within this time are written together
 
 
 class LineWriter:
-    """Writes log messages to a file descriptor from a thread of its own.
+    """Writes log messages to a file descriptor in a thread of its own.
 
-    :param descriptor: of an open file
+    :param descriptor: descriptor of an open file
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.lines: deque[Mapping[str, Any]] = deque()
-        self.lost = 0
-        self.filled = threading.Event()
+        self.dropped = 0
+        self.has_lines = threading.Event()
         self.thread = threading.Thread(target=self._run, name="log", daemon=True)
         self.thread.start()
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        """Take one message, or count it as lost if the buffer is full."""
-        if len(self.lines) >= BUFFER_LINES:
-            self.lost += 1
+        """Buffer one message, or drop and count it if the buffer is full."""
+        if len(self.lines) >= MAX_BUFFERED_LINES:
+            self.dropped += 1
             return
         self.lines.append(message)
-        if not self.filled.is_set():
-            self.filled.set()
+        if not self.has_lines.is_set():
+            self.has_lines.set()
 
     def flush(self) -> None:
-        """Write what waits."""
-        blocks = []
+        """Write all buffered messages, and the number of dropped ones if there are any."""
+        encoded = []
         while self.lines:
-            blocks.append(_encode(_plain(self.lines.popleft())))
-        if self.lost:
-            lost, self.lost = self.lost, 0
-            blocks.append(_encode({"message_type": "threadramp:log_lost", "lines": lost}))
-        if blocks:
-            _write_all(self.descriptor, b"\n".join(blocks) + b"\n")
+            encoded.append(_encode(_without_task_ids(self.lines.popleft())))
+        if self.dropped:
+            dropped, self.dropped = self.dropped, 0
+            encoded.append(_encode({"message_type": "threadramp:log_lost", "lines": dropped}))
+        if encoded:
+            _write_all(self.descriptor, b"\n".join(encoded) + b"\n")
 
     def _run(self) -> None:
-        gather = threading.Event()
+        batch_wait = threading.Event()
         while True:
-            self.filled.wait()
-            gather.wait(GATHER_S)
-            self.filled.clear()
+            self.has_lines.wait()
+            batch_wait.wait(BATCH_WAIT_S)
+            self.has_lines.clear()
             try:
                 self.flush()
-            except OSError:  # nobody reads any more: there is nowhere left to say so
+            except OSError:  # the output has no reader any more: there is nowhere to report it
                 self.lines.clear()
 
 
@@ -83,12 +84,15 @@
 
 
 def log_state(what: str, **fields: Any) -> None:
-    """Log one decision or change of state; never pass a secret."""
+    """Log one decision or change of state; the fields must not contain secrets.
+
+    :param what: name of the event
+    """
     log_message(message_type=f"threadramp:{what}", **fields)
 
 
 def flush_logs() -> None:
-    """Write what waits; for the last lines of a process."""
+    """Write all buffered messages; called before the process exits."""
     for writer in _writers:
         writer.flush()
 
@@ -99,8 +103,8 @@
     add_destinations(writer)
 
 
-def _plain(message: Mapping[str, Any]) -> dict[str, Any]:
-    """Leave out eliot's identifiers of an action's tree, which single lines do not need."""
+def _without_task_ids(message: Mapping[str, Any]) -> dict[str, Any]:
+    """Remove eliot's task identifiers, which only matter for nested actions."""
     return {
         name: value for name, value in message.items() if name not in ("task_uuid", "task_level")
     }
--- a/src/threadramp/report/lot_times.py
+++ b/src/threadramp/report/lot_times.py
@@ -1,4 +1,4 @@
-"""What became of each lot of a day: how long its longest sample waited, when it was listed."""
+"""The times of each lot in the logs: when it was listed, and how long its longest sample waited."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
     from collections.abc import Iterable, Sequence
 
 COLUMNS = f"{'lot':18} {'model':14} {'step':>5} {'wait s':>7} {'listed s':>9} {'due s':>6}"
-MAX_CAUSES = 20  # lines of the table of calls; the rest is summed
+MAX_CAUSES = 20  # rows of the table of calls to the store; rarer causes are summed up
 
 
 @dataclass(frozen=True)
 class LotTimes:
-    """One lot.
+    """The times of one lot.
 
-    :param listed_s: seconds from its hand-in to its last listing, none if nothing was listed
-    :param wait_s: seconds before its longest sample was first sent to an engine, none if unknown
+    :param due_s: seconds from its submission until its results are due
+    :param listed_s: seconds from its submission to its last listing, none if nothing was listed
+    :param wait_s: seconds from its submission until its longest complete sample was first sent to
+        an engine, none if unknown
     """
 
     lot: str
@@ -32,31 +34,34 @@
 
 
 class LotRuns:
-    """When samples were sent, and how long those were that came to their end."""
+    """Records when samples were sent to engines, and the longest complete sample of each lot."""
 
     def __init__(self) -> None:
         self.sent_at: dict[str, list[float]] = {}
-        self.longest: dict[str, tuple[int, str]] = {}
+        self.longest_complete: dict[str, tuple[int, str]] = {}
 
-    def sent(self, at: float, samples: Iterable[str]) -> None:
-        """Note samples that an engine took."""
+    def record_sent(self, at: float, samples: Iterable[str]) -> None:
+        """Record samples that an engine accepted."""
         for sample in samples:
             self.sent_at.setdefault(sample, []).append(at)
 
-    def whole(self, lot: str, sample: str, events: int) -> None:
-        """Note a sample whose text is whole."""
-        self.longest[lot] = max(self.longest.get(lot, (0, "")), (events, sample))
+    def record_complete(self, lot: str, sample: str, events: int) -> None:
+        """Record a sample whose text is complete.
 
-    def wait_of_longest(self, lot: str, handed_in: float) -> float | None:
-        """Return how long the longest sample of a lot waited, none if that is not known."""
-        _, sample = self.longest.get(lot, (0, ""))
-        times = [at for at in self.sent_at.get(sample, ()) if at >= handed_in]
-        return min(times) - handed_in if times else None
+        :param events: length of its text in events
+        """
+        self.longest_complete[lot] = max(self.longest_complete.get(lot, (0, "")), (events, sample))
+
+    def wait_of_longest(self, lot: str, submitted_at: float) -> float | None:
+        """Return the seconds that a lot's longest sample waited for an engine, none if unknown."""
+        _, sample = self.longest_complete.get(lot, (0, ""))
+        times = [at for at in self.sent_at.get(sample, ()) if at >= submitted_at]
+        return min(times) - submitted_at if times else None
 
 
 def lot_text(lots: Sequence[LotTimes]) -> str:
-    """Return a table with a line for each lot."""
-    return "\n".join([COLUMNS, *map(_line, lots)])
+    """Return a table with a row for each lot."""
+    return "\n".join([COLUMNS, *map(_format_row, lots)])
 
 
 def call_text(calls: Counter[tuple[str, str]]) -> str:
@@ -71,7 +76,7 @@
 
 
 def lot_plot(lots: Sequence[LotTimes]) -> str:
-    """Return a plot, as part of a page: seconds to the last listing and of the wait, by lot."""
+    """Return a plot as an SVG element: seconds to the last listing and seconds of wait, by lot."""
     chart = pygal.Bar(
         js=(),
         x_title="lots by hand-in",
@@ -85,12 +90,15 @@
     return chart.render(is_unicode=True)
 
 
-def _line(lot: LotTimes) -> str:
-    name = f"{lot.lot:18} {lot.model:14} {lot.step:5d}"
-    return f"{name} {_seconds(lot.wait_s):>7} {_seconds(lot.listed_s):>9} {lot.due_s:6.1f}"
+def _format_row(lot: LotTimes) -> str:
+    label = f"{lot.lot:18} {lot.model:14} {lot.step:5d}"
+    return (
+        f"{label} {_format_seconds(lot.wait_s):>7} "
+        f"{_format_seconds(lot.listed_s):>9} {lot.due_s:6.1f}"
+    )
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "-" if value is None else f"{value:.2f}"
 
 
--- a/src/threadramp/report/metrics.py
+++ b/src/threadramp/report/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, in the usual text form."""
+"""Counters and latency histograms, in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 2
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 US_PER_S = 1_000_000
 
@@ -23,7 +23,7 @@
 class Metrics(Collector):
     """The metrics of one process.
 
-    :param prefix: of every metric's name
+    :param prefix: prefix of each metric's name
     """
 
     def __init__(self, prefix: str) -> None:
@@ -40,24 +40,27 @@
         self.latencies: dict[str, HdrHistogram] = {}
 
     def count(self, kind: str, label: str = "", amount: float = 1) -> None:
-        """Count events."""
+        """Add to the counter of a kind and label."""
         self.events.labels(kind, label).inc(amount)
 
     def record_latency(self, label: str, seconds: float) -> None:
-        """Record how long something of a class took."""
+        """Record the latency of one operation.
+
+        :param label: class of the operation
+        """
         with self.lock:
             histogram = self.latencies.get(label)
             if histogram is None:
-                histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+                histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
                 self.latencies[label] = histogram
-            histogram.record_value(max(LOWEST_US, int(seconds * US_PER_S)))
+            histogram.record_value(max(MIN_LATENCY_US, int(seconds * US_PER_S)))
 
     def text(self) -> bytes:
-        """Return all metrics in the text form."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def collect(self) -> Iterator[SummaryMetricFamily]:
-        """Yield the latencies; called by the registry."""
+        """Yield the latencies by class; called by the registry."""
         family = SummaryMetricFamily(
             f"{self.prefix}_latency_seconds", "Latency by class and quantile", labels=["class"]
         )
--- a/src/threadramp/report/store_call_counter.py
+++ b/src/threadramp/report/store_call_counter.py
@@ -1,6 +1,7 @@
-"""Counts a process's calls to the store by their cause, for the metrics and now and then a line.
+"""Counts a process's calls to the store by cause, for the metrics and a periodic log line.
 
-Calls are priced and limited, and a line for each would cost more than it tells.
+Calls to the store are billed and rate-limited. They are summed up in one line, since a log line for
+each call would cost more than it is worth.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 if TYPE_CHECKING:
     from threadramp.report.metrics import Metrics
 
-LINE_EACH_S = 5.0  # as often as the platform fetches the metrics in an incident
-METRIC = "store_call"
+LOG_INTERVAL_S = 5.0  # how often the platform scrapes the metrics during an incident
+METRIC_KIND = "store_call"
 
 
 class StoreCallCounter:
-    """Counts by cause, such as ``watch op`` or ``write lot``.
+    """Counts calls by cause, such as ``watch op`` or ``write lot``.
 
-    :param role: of the process
+    :param role: role of the process
     """
 
     def __init__(self, metrics: Metrics, role: str) -> None:
@@ -33,24 +34,24 @@
         self.stopped = threading.Event()
 
     def start(self) -> None:
-        """Start writing lines."""
+        """Start logging the counts periodically."""
         start_loop(self._run, self.stopped)
 
     def record(self, cause: str) -> None:
-        """Count a call."""
-        self.metrics.count(METRIC, cause)
+        """Count a call to the store."""
+        self.metrics.count(METRIC_KIND, cause)
         with self.lock:
             self.counts[cause] += 1
 
     def log_counts(self) -> None:
-        """Write what was counted since the last line."""
+        """Log the calls counted since the last log line, if any."""
         with self.lock:
             counts, self.counts = self.counts, Counter()
         if counts:
             log_state("store_calls", role=self.role, calls=dict(counts))
 
     def _run(self) -> None:
-        while not self.stopped.wait(LINE_EACH_S):
+        while not self.stopped.wait(LOG_INTERVAL_S):
             self.log_counts()
 
 
--- a/tests/report/test_burn.py
+++ b/tests/report/test_burn.py
@@ -16,14 +16,14 @@
     assert (hour.events, round(hour.good_share, 6)) == (150, round(130 / 150, 6))
 
 
-def test_old_events_are_forgotten() -> None:
+def test_old_events_are_removed() -> None:
     recorder = BurnRecorder({"x": 0.9})
     recorder.record("x", 1, 0, now=0.0)
     recorder.record("x", 1, 0, now=30_000.0)
     assert len(recorder.records(30_000.0)[0].points) == 1
 
 
-def test_report_is_shown_as_text_and_page() -> None:
+def test_report_is_rendered_as_text_and_page() -> None:
     recorder = BurnRecorder({"staleness": 0.9})
     recorder.record("staleness", 9, 1, now=0.0)
     records = recorder.records(1.0)
--- a/tests/report/test_lot_times.py
+++ b/tests/report/test_lot_times.py
@@ -1,4 +1,4 @@
-"""What a day's logs say of lots and of calls to the store."""
+"""Reading the times of lots and the calls to the store from a day's logs."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 ]
 
 
-def test_of_a_lot_the_wait_of_its_longest_sample_and_its_last_listing_are_told():
+def test_lot_times_have_the_wait_of_the_longest_sample_and_the_last_listing():
     log = DayLog()
     log.read(DAY)
     (lot,) = log.lot_times()
     assert (lot.model, lot.step, lot.due_s) == ("m", 3, 7.5)
-    assert round(lot.wait_s, 2) == 2.1  # not that of the short one, nor of the second run
+    assert round(lot.wait_s, 2) == 2.1  # not the short sample's wait, nor the second run's
     assert round(lot.listed_s, 2) == 9.25
 
 
-def test_what_is_not_known_is_said_so():
+def test_unknown_times_are_shown_as_dashes():
     log = DayLog()
     log.read([line("lot_taken", 0.0, lot="a", due_s=7.5, samples=2)])
     assert lot_text(log.lot_times()).splitlines()[1].split() == ["a", "0", "-", "-", "7.5"]
@@ -54,7 +54,7 @@
     assert call_text(calls).splitlines()[-1].split() == ["others", "3"]
 
 
-def test_what_a_trainer_named_is_no_markup_on_the_page(tmp_path):
+def test_names_from_a_trainer_are_escaped_on_the_page(tmp_path):
     log = tmp_path / "day.log"
     log.write_text(line("lot_taken", 0.0, lot="<b>a", due_s=7.5, samples=1, model="<script>"))
     page = tmp_path / "day.html"
@@ -63,7 +63,7 @@
     assert "&lt;script&gt;" in page.read_text()
 
 
-def test_the_report_shows_both_and_its_page_has_the_plot(tmp_path):
+def test_the_report_shows_lots_and_calls_and_its_page_has_the_plot(tmp_path):
     log = tmp_path / "day.log"
     log.write_text("\n".join(DAY))
     page = tmp_path / "day.html"
--- a/tests/report/test_organisation_shares.py
+++ b/tests/report/test_organisation_shares.py
@@ -1,4 +1,4 @@
-"""How the calls of each organisation were served, from a day's lines."""
+"""The share of its calls that each organisation had served, from a day's logs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from threadramp.report.organisation_shares import shares_text
 
 
-def test_shares_are_shown_and_who_is_starved_is_named():
+def test_shares_are_shown_and_starved_organisations_are_named():
     log = DayLog()
     log.read([answered(n, 50, organisation="acme") for n in range(20)])
     log.read([answered(n, 50, 503, organisation="rival") for n in range(4)])
@@ -22,13 +22,13 @@
     assert log.organisations.starved() == ["rival"]
 
 
-def test_a_day_on_which_nobody_is_named_has_no_table():
+def test_logs_without_organisations_have_no_table():
     log = DayLog()
     log.read([answered(1, 50)])
     assert shares_text(log.organisations) == ""
 
 
-def test_few_calls_say_nothing_of_being_starved():
+def test_an_organisation_with_few_calls_does_not_count_as_starved():
     log = DayLog()
     log.read([answered(n, 50, organisation="acme") for n in range(20)])
     log.read([answered(n, 50, 503, organisation="rival") for n in range(3)])
--- a/tests/report/test_store_call_counter.py
+++ b/tests/report/test_store_call_counter.py
@@ -1,4 +1,4 @@
-"""Calls to the store by cause."""
+"""Counting the calls to the store by cause."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 from threadramp.report.store_call_counter import StoreCallCounter
 
 
-def test_calls_are_counted_and_told_once(monkeypatch):
-    told = []
-    monkeypatch.setattr(store_call_counter, "log_state", lambda what, **fields: told.append(fields))
+def test_calls_are_counted_and_logged_once(monkeypatch):
+    logged = []
+    monkeypatch.setattr(
+        store_call_counter, "log_state", lambda what, **fields: logged.append(fields)
+    )
     metrics = Metrics("t")
     counter = StoreCallCounter(metrics, "gateway")
     for cause in ("write lot", "write lot", "watch op"):
         counter.record(cause)
     counter.log_counts()
     counter.log_counts()
-    assert told == [{"role": "gateway", "calls": {"write lot": 2, "watch op": 1}}]
+    assert logged == [{"role": "gateway", "calls": {"write lot": 2, "watch op": 1}}]
     assert b'kind="store_call",label="write lot"} 2.0' in metrics.text()
 
 
-def test_each_call_is_counted_with_its_cause_also_one_that_fails():
+def test_each_call_is_counted_by_cause_even_if_it_fails():
     causes = []
-    client = StoreClient("127.0.0.1:1", count=causes.append)  # nobody listens there
+    client = StoreClient("127.0.0.1:1", count=causes.append)  # no process listens on this port
     calls = [
         lambda: client.get("lot/a"),
         lambda: client.list("servers/"),
