--- a/src/threadramp/lots/appending.py
+++ b/src/threadramp/lots/appending.py
@@ -70,7 +70,7 @@
         started = self.clock.now()
         try:
             stored = self.journal.append(lot.stored, chunk)
-            self.metrics.latency("append", self.clock.now() - started)
+            self.metrics.record_latency("append", self.clock.now() - started)
         except (NotOwnerError, LotMissingError) as error:
             log_state("lot_owner_changed", lot=lot.lot_id, error=str(error))
             self.on_owner_changed(lot)
