--- a/deploy/start.py
+++ b/deploy/start.py
@@ -13,7 +13,7 @@
     """Run the role that is named."""
     role = sys.argv[1]
     import_module(f"threadramp.serve.{role}")  # registers the role; the others are not loaded
-    return import_module("threadramp.serve.api").serve(role)
+    return import_module("threadramp.serve.process").serve(role)
 
 
 if __name__ == "__main__":
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -60,9 +60,9 @@
 from threadramp.report.log import log_state
 from threadramp.report.metrics import Metrics
 from threadramp.runner.hosting import HostedRunners
-from threadramp.serve.answers import GatewayAnswers
-from threadramp.serve.api import ROLES, Process, in_background
-from threadramp.serve.figures import serve_metrics
+from threadramp.serve.metrics_server import serve_metrics
+from threadramp.serve.peer_requests import PeerRequestHandler
+from threadramp.serve.process import ROLES, Process, run_in_background
 from threadramp.wire.fleet import decode_ask, decode_reply
 from threadramp.wire.packing import Packing
 from threadramp.wire.sync import SyncClient, SyncServer
@@ -115,9 +115,9 @@
         """Let the balancer turn away, hand the lots over, finish what is open."""
         began = steady_s()
         self.handler.stopping = True
-        in_background(self.owner.hand_over)  # the store may be slow, and the end is near
+        run_in_background(self.owner.hand_over)  # the store may be slow, and the end is near
         if self.duties is not None:
-            in_background(self.duties.leave)
+            run_in_background(self.duties.leave)
         last = began + self.settings.bounds.grace_s - EXIT_MARGIN_S
         self._wait_until_quiet(began + BALANCER_S, last - LAST_ANSWERS_S)
         self.callers.take_nothing_new()
@@ -126,8 +126,8 @@
             time.sleep(STOP_LOOK_S)
         if self.duties is not None:
             until = max(last, steady_s() + LEAVE_S)
-            in_background(lambda: self.duties.tell_last(until)).join(until - steady_s())
-        in_background(self.membership.leave).join(LEAVE_S)
+            run_in_background(lambda: self.duties.tell_last(until)).join(until - steady_s())
+        run_in_background(self.membership.leave).join(LEAVE_S)
 
     def _wait_until_quiet(self, least: float, most: float) -> None:
         """Serve on until the balancer has turned away and no caller asks for a while.
@@ -181,7 +181,7 @@
             self.own.weights.versions_apart,
             own.bounds.holders_apart_s,
         )
-        self.answers = GatewayAnswers(
+        self.answers = PeerRequestHandler(
             self.peers,
             self.owner,
             self.reader,
--- a/src/threadramp/serve/keeper.py
+++ b/src/threadramp/serve/keeper.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from threadramp.serve.api import ROLES, Process
+from threadramp.serve.process import ROLES, Process
 
 
 @ROLES.register("keeper")
--- a/src/threadramp/serve/answers.py
+++ b/src/threadramp/serve/peer_requests.py
@@ -49,7 +49,7 @@
 OF_RUNNERS = (Beat, Collect, Drop, Find, HurryLoad, Submit)
 
 
-class GatewayAnswers:
+class PeerRequestHandler:
     """Answers peers."""
 
     def __init__(
@@ -118,4 +118,4 @@
             return LotEnded(True, False)
 
 
-__all__ = ["GatewayAnswers"]
+__all__ = ["PeerRequestHandler"]
--- a/src/threadramp/serve/api.py
+++ b/src/threadramp/serve/process.py
@@ -15,13 +15,13 @@
 from threadramp.config.registry import Registry
 from threadramp.platform.settings import read_settings, settings_path
 from threadramp.report.log import flush_logs, log_state, log_to_stdout
-from threadramp.serve.own_settings import read_own_settings
+from threadramp.serve.service_settings import read_service_settings
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from threadramp.platform.settings import BoxSettings
-    from threadramp.serve.own_settings import OwnSettings
+    from threadramp.serve.service_settings import ServiceSettings
 
 ROLES: Registry[type[Process]] = Registry()
 SETTINGS_LOOK_S = 1.0  # how often the settings file is looked at; it changes without a signal too
@@ -36,7 +36,7 @@
     :param own: our own settings; they hold until the process ends
     """
 
-    def __init__(self, settings: BoxSettings, stamp: tuple[int, int], own: OwnSettings) -> None:
+    def __init__(self, settings: BoxSettings, stamp: tuple[int, int], own: ServiceSettings) -> None:
         self.settings = settings
         self.own = own
         self.stamp = stamp
@@ -90,7 +90,7 @@
         self.changed(settings)
 
 
-def in_background(work: Callable[[], object]) -> threading.Thread:
+def run_in_background(work: Callable[[], object]) -> threading.Thread:
     """Start work that the end of the process does not wait for."""
     thread = threading.Thread(target=work, daemon=True)
     thread.start()
@@ -103,7 +103,7 @@
     stamp = _stamp()  # before the file is read, so that no change after it is missed
     try:
         settings = read_settings(settings_path())
-        own = read_own_settings()
+        own = read_service_settings()
     except FindingsError as error:
         log_state("settings_refused", findings=[str(one) for one in error.findings])
         flush_logs()
@@ -122,4 +122,4 @@
     return (found.st_mtime_ns, found.st_size)
 
 
-__all__ = ["ROLES", "Process", "in_background", "serve"]
+__all__ = ["ROLES", "Process", "run_in_background", "serve"]
--- a/src/threadramp/serve/own_settings.py
+++ b/src/threadramp/serve/service_settings.py
@@ -10,7 +10,7 @@
 from threadramp.config.findings import Finding, FindingsError
 from threadramp.policy.listing_policy import LISTINGS
 
-OWN_SETTINGS = Path("deploy", "threadramp.toml")  # processes begin at the root of the checkout
+SETTINGS_FILE = Path("deploy", "threadramp.toml")  # processes begin at the root of the checkout
 
 
 class WeightSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -32,14 +32,14 @@
     listing: str = "at_once"
 
 
-class OwnSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServiceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All of them."""
 
     weights: WeightSettings = WeightSettings()
     lots: LotSettings = LotSettings()
 
 
-def read_own_settings(path: Path = OWN_SETTINGS) -> OwnSettings:
+def read_service_settings(path: Path = SETTINGS_FILE) -> ServiceSettings:
     """Read the file; the usual values hold where there is none.
 
     :raises FindingsError: if it can not be read, with the place
@@ -47,11 +47,11 @@
     try:
         text = path.read_text(encoding="utf-8")
     except FileNotFoundError:
-        return OwnSettings()
+        return ServiceSettings()
     except (OSError, UnicodeDecodeError) as error:
         raise FindingsError([Finding(str(path), str(error))]) from error
     try:
-        found = msgspec.convert(tomllib.loads(text), OwnSettings)
+        found = msgspec.convert(tomllib.loads(text), ServiceSettings)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise FindingsError([Finding(str(path), str(error))]) from error
     if found.weights.versions_apart not in (1, 2):
@@ -64,4 +64,10 @@
     return found
 
 
-__all__ = ["OWN_SETTINGS", "LotSettings", "OwnSettings", "WeightSettings", "read_own_settings"]
+__all__ = [
+    "SETTINGS_FILE",
+    "LotSettings",
+    "ServiceSettings",
+    "WeightSettings",
+    "read_service_settings",
+]
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -22,8 +22,8 @@
 from threadramp.runner.runs import RunTable
 from threadramp.runner.sidecar import Sidecar
 from threadramp.runner.weight_loader import WeightLoader
-from threadramp.serve.api import ROLES, Process, in_background
-from threadramp.serve.figures import serve_metrics
+from threadramp.serve.metrics_server import serve_metrics
+from threadramp.serve.process import ROLES, Process, run_in_background
 from threadramp.wire.fleet import decode_ask, decode_reply
 from threadramp.wire.packing import Packing
 from threadramp.wire.sync import SyncClient, SyncServer
@@ -83,7 +83,7 @@
         """Give the samples back, then leave."""
         self.sidecar.leave()
         time.sleep(LAST_WORDS_S)
-        in_background(self.membership.leave).join(LEAVE_S)
+        run_in_background(self.membership.leave).join(LEAVE_S)
 
 
 __all__ = ["SidecarProcess"]
--- a/tests/lots/test_end_notices.py
+++ b/tests/lots/test_end_notices.py
@@ -20,7 +20,7 @@
 from threadramp.lots.reading import LotReader
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Item, Listing
-from threadramp.serve.answers import GatewayAnswers
+from threadramp.serve.peer_requests import PeerRequestHandler
 from threadramp.wire.fleet import Done, EndKept, LotEnded
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     """Carries messages between gateways; some addresses may not answer."""
 
     def __init__(self) -> None:
-        self.answers: dict[str, GatewayAnswers] = {}
+        self.answers: dict[str, PeerRequestHandler] = {}
         self.silent: set[str] = set()
 
     def ask(self, address, ask, timeout_s):
@@ -76,7 +76,7 @@
             self.owned, self.journal, peers, clock, self._drop, Checkpoints(), self.notices.tell
         )
         self.reader = LotReader(self.owned, self.owner, self.journal, peers, clock)
-        client.answers[member.address] = GatewayAnswers(peers, self.owner, self.reader, None)
+        client.answers[member.address] = PeerRequestHandler(peers, self.owner, self.reader, None)
 
     def _drop(self, owned: OwnedLot, let_finish: bool) -> None:
         self.dropped.append(owned.lot_id)
--- a/tests/serve/test_deploy.py
+++ b/tests/serve/test_deploy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.serve.fleet import PORTS, Box, wait_for
-from threadramp.serve.figures import METRICS_PATH, METRICS_PORT
+from threadramp.serve.metrics_server import METRICS_PATH, METRICS_PORT
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "system.toml").read_text(encoding="utf-8"))
--- a/tests/serve/test_answers.py
+++ b/tests/serve/test_peer_requests.py
@@ -8,16 +8,16 @@
 from threadramp.fleet.store_health import StoreHealth
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import Call
-from threadramp.serve.answers import GatewayAnswers
+from threadramp.serve.peer_requests import PeerRequestHandler
 from threadramp.wire.fleet import CallStore, StoreAnswered
 
 ASK = CallStore("g1", "g1:1", Call("GET", "/threadramp/kv-key?key=a", b"", 0.5, True))
 
 
 @pytest.fixture
-def answers(clock, store_address) -> GatewayAnswers:
+def answers(clock, store_address) -> PeerRequestHandler:
     store = StoreClient(store_address, timeout_s=0.5)
-    return GatewayAnswers(None, None, None, StoreRelay(store, StoreHealth(clock)))
+    return PeerRequestHandler(None, None, None, StoreRelay(store, StoreHealth(clock)))
 
 
 def test_a_call_is_passed_on(answers):
--- a/tests/serve/test_own_settings.py
+++ b/tests/serve/test_service_settings.py
@@ -7,17 +7,17 @@
 import pytest
 
 from threadramp.config.findings import FindingsError
-from threadramp.serve.own_settings import OwnSettings, read_own_settings
+from threadramp.serve.service_settings import ServiceSettings, read_service_settings
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "threadramp.toml"
 
 
 def test_the_file_that_is_deployed_is_good():
-    assert read_own_settings(DEPLOYED) == OwnSettings()
+    assert read_service_settings(DEPLOYED) == ServiceSettings()
 
 
 def test_without_a_file_the_usual_values_hold(tmp_path):
-    assert read_own_settings(tmp_path / "none.toml").weights.versions_apart == 1
+    assert read_service_settings(tmp_path / "none.toml").weights.versions_apart == 1
 
 
 @pytest.mark.parametrize(
@@ -35,5 +35,5 @@
     path = tmp_path / "own.toml"
     path.write_text(text)
     with pytest.raises(FindingsError) as failure:
-        read_own_settings(path)
+        read_service_settings(path)
     assert place in str(failure.value.findings[0])
