--- a/src/threadramp/serve/__init__.py
+++ b/src/threadramp/serve/__init__.py
@@ -1,1 +1,1 @@
-"""The processes on the users' platform, one module a role."""
+"""The processes that run on the users' platform: one module per role, and what they share."""
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's process: its parts, put together."""
+"""The gateway process: creates, connects and starts its parts."""
 
 from __future__ import annotations
 
@@ -67,25 +67,25 @@
 from threadramp.wire.packing import Packing
 from threadramp.wire.sync import SyncClient, SyncServer
 
-HTTP_THREADS = 40  # readers of results may each hold one for a second
+HTTP_THREADS = 40  # a reader of results may occupy one for a second
 READY_THREADS = 2
-PEER_THREADS = 24  # lots' gateways may each wait half a second for news of an engine hosted here
-BALANCER_S = 3.5  # two questions a second apart without a good answer, and a margin
-EXIT_MARGIN_S = 0.8  # before the platform kills
-STOP_LOOK_S = 0.05
-QUIET_S = 0.5  # without a request, after which a stopping gateway takes no more
-LAST_ANSWERS_S = 1.5  # for what was read last; routes of the users' sheets time out after 1.1 s
-LEAVE_S = 0.3  # the list of members drops a process that does not take itself out as well
+PEER_THREADS = 24  # each gateway with lots may wait 0.5 s for updates of an engine hosted here
+BALANCER_DRAIN_S = 3.5  # the balancer needs two failed probes, a second apart; plus a margin
+EXIT_MARGIN_S = 0.8  # before the platform kills the process
+STOP_POLL_S = 0.05
+IDLE_S = 0.5  # a stopping gateway accepts no more requests after this time without any
+FINAL_RESPONSES_S = 1.5  # for the requests read last; the users' routes time out after 1.1 s
+LEAVE_TIMEOUT_S = 0.3  # enough: the member list also drops a process that fails to remove itself
 
 
 @ROLES.register("gateway")
 class GatewayProcess(Process):
-    """Serves callers and trainers."""
+    """Serves the HTTP requests of callers and trainers, and the requests of its peers."""
 
     def start(self) -> None:
-        """Start all parts."""
-        self._build()
-        own = self.settings
+        """Create all parts and start them."""
+        self._create_parts()
+        settings = self.settings
         self.membership.start()
         for watcher in self.watchers:
             watcher.start()
@@ -96,196 +96,219 @@
         self.runners.start()
         self.end_notices.start()
         self.caller_watch.start()
-        self.crashes.start()
-        self.emptying.start()
+        self.crash_sharing.start()
+        self.box_retirement.start()
         self.hosting.start()
         if self.duties is not None:
             self.duties.start()
-        self.sync = SyncServer(
-            self.member.address, Packing(), self.answers.handle, PEER_THREADS, decode_ask
+        self.peer_server = SyncServer(
+            self.member.address, Packing(), self.peer_requests.handle, PEER_THREADS, decode_ask
         )
         limits = CallerLimits()  # until the configuration is known
-        self.ready = EdgeServer(own.ready, self.handler.answer_ready, READY_THREADS, limits)
-        self.callers = EdgeServer(own.callers, self.handler.handle, HTTP_THREADS, limits)
-        self.picture.operator.listeners.append(self._keep_limits)
-        self._keep_limits()
-        self.figures = serve_metrics(own.ip, self.metrics)
+        self.readiness_server = EdgeServer(
+            settings.ready, self.handler.answer_ready, READY_THREADS, limits
+        )
+        self.caller_server = EdgeServer(settings.callers, self.handler.handle, HTTP_THREADS, limits)
+        self.fleet_view.operator.listeners.append(self._apply_caller_limits)
+        self._apply_caller_limits()
+        self.metrics_server = serve_metrics(settings.ip, self.metrics)
 
-    def finish(self) -> None:
-        """Let the balancer turn away, hand the lots over, finish what is open."""
-        began = steady_s()
+    def shut_down(self) -> None:
+        """Drain: fail readiness probes, hand over lots and duties, finish open requests."""
+        started_at = steady_s()
         self.handler.stopping = True
-        run_in_background(self.owner.hand_over)  # the store may be slow, and the end is near
+        run_in_background(self.owner.hand_over)  # the store may be slow, the grace period is short
         if self.duties is not None:
             run_in_background(self.duties.leave)
-        last = began + self.settings.bounds.grace_s - EXIT_MARGIN_S
-        self._wait_until_quiet(began + BALANCER_S, last - LAST_ANSWERS_S)
-        self.callers.take_nothing_new()
+        deadline = started_at + self.settings.bounds.grace_s - EXIT_MARGIN_S
+        self._wait_until_idle(started_at + BALANCER_DRAIN_S, deadline - FINAL_RESPONSES_S)
+        self.caller_server.take_nothing_new()
         self.hosting.leave()
-        while self.callers.is_busy and steady_s() < last:
-            time.sleep(STOP_LOOK_S)
+        while self.caller_server.is_busy and steady_s() < deadline:
+            time.sleep(STOP_POLL_S)
         if self.duties is not None:
-            until = max(last, steady_s() + LEAVE_S)
-            run_in_background(lambda: self.duties.tell_last(until)).join(until - steady_s())
-        run_in_background(self.membership.leave).join(LEAVE_S)
+            send_deadline = max(deadline, steady_s() + LEAVE_TIMEOUT_S)
+            run_in_background(lambda: self.duties.tell_last(send_deadline)).join(
+                send_deadline - steady_s()
+            )
+        run_in_background(self.membership.leave).join(LEAVE_TIMEOUT_S)
+
+    def _wait_until_idle(self, earliest: float, latest: float) -> None:
+        """Keep serving until the balancer has had time to react and no request was open lately.
 
-    def _wait_until_quiet(self, least: float, most: float) -> None:
-        """Serve on until the balancer has turned away and no caller asks for a while.
+        If few gateways of a data centre are left, the balancer sends requests to stopping ones too.
 
-        Where few gateways of a data centre are left it sends callers to those that stop, too.
+        :param earliest: monotonic time in s before which this does not return on idleness
+        :param latest: monotonic time in s at which this returns in any case
         """
-        quiet_since = steady_s()
-        while (now := steady_s()) < most:
-            if self.callers.is_busy:
-                quiet_since = now
-            if now > least and now - quiet_since > QUIET_S:
+        idle_since = steady_s()
+        while (now := steady_s()) < latest:
+            if self.caller_server.is_busy:
+                idle_since = now
+            if now > earliest and now - idle_since > IDLE_S:
                 return
-            time.sleep(STOP_LOOK_S)
+            time.sleep(STOP_POLL_S)
 
-    def _build(self) -> None:
-        own = self.settings
+    def _create_parts(self) -> None:
+        settings = self.settings
         clock = Clock()
-        address = f"{own.ip}:{own.peer_port}"
-        self.member = Member(own.name, "gateway", self.incarnation, address, own.data_centre, "")
+        address = f"{settings.ip}:{settings.peer_port}"
+        self.member = Member(
+            settings.name, "gateway", self.incarnation, address, settings.data_centre, ""
+        )
         self.metrics = Metrics("threadramp")
-        self.picture = FleetView()
-        self.picture.decode_cache.on_unreadable = lambda kind: self.metrics.count(
+        self.fleet_view = FleetView()
+        self.fleet_view.decode_cache.on_unreadable = lambda kind: self.metrics.count(
             "unreadable", kind
         )
         health = StoreHealth(clock)
         client = SyncClient(Packing(), decode_reply, redial=True)
-        self.peers = Peers(self.member, self.picture, client, health, clock)
+        self.peers = Peers(self.member, self.fleet_view, client, health, clock)
         tally = CallTally(self.metrics, "gateway")
         tally.start()
-        store = StoreClient(own.store.address, self.peers.relay, health.observe, count=tally.note)
-        self.membership = Membership(self.member, store, own.store.lease_min_s)
-        self.membership.renew_s = self._renew_s
+        store = StoreClient(
+            settings.store.address, self.peers.relay, health.observe, count=tally.note
+        )
+        self.membership = Membership(self.member, store, settings.store.lease_min_s)
+        self.membership.renew_s = self._renewal_interval_s
         self.peers.on_unlisted = self.membership.mark_unlisted
         self.peers.list_members = lambda: store.list(MEMBER_PREFIX)
         self.watchers = self._new_watchers(store, health, clock)
-        store.on_silence.append(self._note_silence)
-        self.emptying = BoxRetirement(self.member.name, self.picture, store)
-        book = CrashTracker()
-        self.crashes = CrashSharing(book, self.peers, store, health, clock, self.member.name)
-        self.guard = CrashGuard(
-            book, clock, self.picture, self.crashes.claim_trial, self.metrics.count
+        store.on_silence.append(self._record_silent_connections)
+        self.box_retirement = BoxRetirement(self.member.name, self.fleet_view, store)
+        tracker = CrashTracker()
+        self.crash_sharing = CrashSharing(
+            tracker, self.peers, store, health, clock, self.member.name
+        )
+        self.crash_guard = CrashGuard(
+            tracker, clock, self.fleet_view, self.crash_sharing.claim_trial, self.metrics.count
         )
         self.true_time = TrueTime(clock)
-        self._build_lots(store, clock)
+        self._create_lot_parts(store, clock)
         self.duties = self._new_duties(store, clock)
         self.hosting = HostedRunners(
             self.peers,
             store,
             clock,
             self.metrics,
-            self.own.weights.versions_apart,
-            own.bounds.holders_apart_s,
+            self.service_settings.weights.versions_apart,
+            settings.bounds.holders_apart_s,
         )
-        self.answers = PeerRequestHandler(
+        self.peer_requests = PeerRequestHandler(
             self.peers,
             self.owner,
             self.reader,
             StoreRelay(store, health),
             self.hosting,
-            self._beliefs(clock),
-            self.crashes,
+            self._new_beliefs(clock),
+            self.crash_sharing,
             self.duties,
         )
 
     def _new_duties(self, store: StoreClient, clock: Clock) -> Duties | None:
-        """Return this gateway's part in the fleet's duties, none where the platform takes none."""
-        own = self.settings
-        if self.counting is None:
+        """Return what carries out the fleet's duties here, None if the platform accepts none."""
+        settings = self.settings
+        if self.usage_counting is None:
             return None
-        collecting = UsageCollecting(self.peers, self.counting, self.true_time)
+        collecting = UsageCollecting(self.peers, self.usage_counting, self.true_time)
         holding = DutyHolding(
-            self.picture,
+            self.fleet_view,
             store,
-            own.name,
-            own.bounds.holders_apart_s,
+            settings.name,
+            settings.bounds.holders_apart_s,
             clock,
             lambda holder: self.duties.may_take(holder),
         )
-        schedule = UsageSchedule(own.bounds.usage_window_s, own.bounds.usage_late_s)
-        calls = DutyCalls(own.duties.address, own.name)
-        right = holding.right
+        schedule = UsageSchedule(settings.bounds.usage_window_s, settings.bounds.usage_late_s)
+        calls = DutyCalls(settings.duties.address, settings.name)
+        lock = holding.right
         reports = UsageReports(
-            right, store, calls, collecting, schedule, self.true_time, self.metrics
+            lock, store, calls, collecting, schedule, self.true_time, self.metrics
         )
-        scale = ScaleOrders(right, calls, collecting, self.picture, self.metrics)
+        scale = ScaleOrders(lock, calls, collecting, self.fleet_view, self.metrics)
         return Duties(
             self.peers,
             holding,
             collecting,
-            reports if own.duties.takes_usage else None,
-            scale if own.duties.takes_scale else None,
+            reports if settings.duties.takes_usage else None,
+            scale if settings.duties.takes_scale else None,
         )
 
-    def _new_counting(self) -> UsageCounting | None:
-        """Return what counts requests for their organisations, none where nobody asks for it."""
-        own = self.settings
-        if own.duties is None or not (own.duties.takes_usage or own.duties.takes_scale):
+    def _new_usage_counting(self) -> UsageCounting | None:
+        """Return the counter of requests by organisation, None if no duty needs the counts."""
+        settings = self.settings
+        if settings.duties is None or not (
+            settings.duties.takes_usage or settings.duties.takes_scale
+        ):
             return None
-        window_s = own.bounds.usage_window_s
-        return UsageCounting(window_s, self.true_time, own.name, self.incarnation)
+        window_s = settings.bounds.usage_window_s
+        return UsageCounting(window_s, self.true_time, settings.name, self.incarnation)
 
-    def _beliefs(self, clock: Clock) -> Beliefs:
-        """Return what tells an operator what this process believes."""
-        own = GatewayBeliefs(self.picture, self.peers, self.forwarder, self.owner.owned, clock)
-        beliefs = own.added_to(Beliefs())
+    def _new_beliefs(self, clock: Clock) -> Beliefs:
+        """Return what reports this process's current view to an operator."""
+        gateway_beliefs = GatewayBeliefs(
+            self.fleet_view, self.peers, self.forwarder, self.owner.owned, clock
+        )
+        beliefs = gateway_beliefs.added_to(Beliefs())
         beliefs.add("endpoint", self.hosting.inspect)
         return beliefs
 
-    def _note_silence(self) -> None:
-        """Tell that what is open to the store may pass nothing, though new connections work."""
+    def _record_silent_connections(self) -> None:
+        """Log and count that open connections to the store may be dead while new ones work."""
         self.metrics.count("store_connections_suspect")
         log_state("store_connections_suspect", box=self.member.name)
 
     def _new_watchers(self, store: StoreClient, health: StoreHealth, clock: Clock) -> list[Watcher]:
-        """Return a watcher for each mirror; only changes of members are not bounded."""
+        """Return a watcher for each mirror.
+
+        The platform bounds how late changes may be known, except for those of members.
+        """
         bounds = self.settings.bounds
-        bounded_s = watch_wait_s(bounds.contact_s)
-        endpoints_s = batch_window_s(bounds.drain_s)
+        bounded_wait_s = watch_wait_s(bounds.contact_s)
+        endpoints_window_s = batch_window_s(bounds.drain_s)
         return [
             Watcher(
-                one,
+                mirror,
                 store,
                 health,
                 clock,
-                batches=one is not self.picture.operator,  # bounds on its changes are short
-                wait_s=WATCH_WAIT_S if one is self.picture.members else bounded_s,
-                batch_window_s=endpoints_s if one is self.picture.endpoints else BATCH_WINDOW_S,
+                # the bound for the operator's changes is too short for batches
+                batches=mirror is not self.fleet_view.operator,
+                wait_s=WATCH_WAIT_S if mirror is self.fleet_view.members else bounded_wait_s,
+                batch_window_s=(
+                    endpoints_window_s if mirror is self.fleet_view.endpoints else BATCH_WINDOW_S
+                ),
                 follows=self.peers.watch_delegation.follows,
                 push_changes=self.peers.push_changes,
                 peer_reaches_store=self.peers.watch_delegation.peer_reaches_store,
             )
-            for one in self.picture.mirrors
+            for mirror in self.fleet_view.mirrors
         ]
 
-    def _build_lots(self, store: StoreClient, clock: Clock) -> None:
+    def _create_lot_parts(self, store: StoreClient, clock: Clock) -> None:
         random = Random(self.incarnation)
         connections = Connections(self.metrics.count)
-        self.counting = self._new_counting()
+        self.usage_counting = self._new_usage_counting()
         forwarder = Forwarder(
-            self.picture,
+            self.fleet_view,
             connections,
             EndpointSelector(random),
             RetryBudget(),
             clock,
-            self.guard,
-            self.counting,
+            self.crash_guard,
+            self.usage_counting,
         )
         self.forwarder = forwarder
         self.caller_watch = CallerWatch()
         streams = StreamForwarder(forwarder, self.caller_watch)
-        self.picture.endpoints.listeners.append(forwarder.forget_gone)
+        self.fleet_view.endpoints.listeners.append(forwarder.forget_gone)
         owned = OwnedLots()
-        if self.counting is not None:
-            self.counting.open = DemandCounting(self.picture, forwarder.choice, owned).open
+        if self.usage_counting is not None:
+            self.usage_counting.open = DemandCounting(self.fleet_view, forwarder.choice, owned).open
         journal = LotJournal(store)
-        scoring = Scoring(owned, self.picture, forwarder, clock)
+        scoring = Scoring(owned, self.fleet_view, forwarder, clock)
         self.runners = Runners(
-            owned, self.peers, clock, scoring.begin, SampleGuard(self.guard, owned)
+            owned, self.peers, clock, scoring.begin, SampleGuard(self.crash_guard, owned)
         )
         self.checkpoints = Checkpoints(owned, store, self.incarnation)
         self.end_notices = EndNotices(self.peers, clock)
@@ -297,7 +320,7 @@
             self.runners.drop,
             self.checkpoints,
             self.end_notices.tell,
-            LISTINGS[self.own.lots.listing](),
+            LISTINGS[self.service_settings.lots.listing](),
         )
         self.audit = LotAudit(self.owner, self.settings.bounds.status_s)
         self.reader = LotReader(owned, self.owner, journal, self.peers, clock)
@@ -307,10 +330,10 @@
             clock,
             self.owner.release,
             self.metrics,
-            lambda model: self.picture.snapshot.newest_version(model),
+            lambda model: self.fleet_view.snapshot.newest_version(model),
         )
         self.handler = EdgeHandler(
-            self.picture,
+            self.fleet_view,
             forwarder,
             streams,
             self.owner,
@@ -320,15 +343,18 @@
             self.settings.bounds.keys_within_s,
         )
 
-    def _renew_s(self) -> float:
-        """Return the seconds between renewals: gateways that follow this one go by them."""
+    def _renewal_interval_s(self) -> float:
+        """Return the seconds between renewals.
+
+        Gateways that follow this one infer from its renewals whether it can reach the store.
+        """
         return WATCHER_RENEW_S if self.peers.watch_delegation.followers() else RENEW_S
 
-    def _keep_limits(self) -> None:
-        """Hold callers to the limits of the configuration in force."""
-        configuration = self.picture.snapshot.configuration
-        if configuration is not None and configuration.limits != self.callers.limits:
-            self.callers.keep(configuration.limits)
+    def _apply_caller_limits(self) -> None:
+        """Apply the limits for callers of the configuration in force."""
+        configuration = self.fleet_view.snapshot.configuration
+        if configuration is not None and configuration.limits != self.caller_server.limits:
+            self.caller_server.keep(configuration.limits)
             log_state(
                 "caller_limits", version=configuration.version, **asdict(configuration.limits)
             )
--- a/src/threadramp/serve/keeper.py
+++ b/src/threadramp/serve/keeper.py
@@ -1,6 +1,6 @@
-"""The role on boxes with a disk: it keeps nothing, so that such a box can go at any time.
+"""The role of boxes with a disk: it stores nothing, so such a box can be removed at any time.
 
-What must last lies in the platform's store; see docs/design/platform.md for what was weighed.
+Persistent data is in the platform's store; docs/design/platform.md compares the alternatives.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 @ROLES.register("keeper")
 class Keeper(Process):
-    """Waits for its stop."""
+    """Does nothing until it is told to stop."""
 
     def start(self) -> None:
-        """Start nothing."""
+        """Start nothing: this role has no parts."""
 
 
 __all__ = ["Keeper"]
--- a/src/threadramp/serve/metrics_server.py
+++ b/src/threadramp/serve/metrics_server.py
@@ -1,4 +1,4 @@
-"""A process's own figures, at the metrics address that the deploy file names."""
+"""Serves the metrics of a process at the address that the deploy file names."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     from threadramp.edge.server import CallerRequest
     from threadramp.report.metrics import Metrics
 
-METRICS_PORT = 9464  # the same in the deploy file
+METRICS_PORT = 9464  # must match the deploy file
 METRICS_PATH = "/metrics"
 THREADS = 1
 
 
 def serve_metrics(ip: str, metrics: Metrics) -> EdgeServer:
-    """Serve the figures of a process."""
+    """Serve the metrics of a process over HTTP; return the running server."""
 
-    def answer(request: CallerRequest) -> None:
+    def respond(request: CallerRequest) -> None:
         if request.path == METRICS_PATH:
             request.answer(200, [("Content-Type", "text/plain")], metrics.text())
         else:
             request.answer(404)
 
-    return EdgeServer(f"{ip}:{METRICS_PORT}", answer, THREADS, CallerLimits())
+    return EdgeServer(f"{ip}:{METRICS_PORT}", respond, THREADS, CallerLimits())
 
 
 __all__ = ["METRICS_PATH", "METRICS_PORT", "serve_metrics"]
--- a/src/threadramp/serve/peer_requests.py
+++ b/src/threadramp/serve/peer_requests.py
@@ -1,4 +1,4 @@
-"""A gateway's answers to other gateways and to sidecars."""
+"""Handles the requests that other gateways and sidecars send to a gateway."""
 
 from __future__ import annotations
 
@@ -46,18 +46,22 @@
     from threadramp.wire.fleet import AnyAsk, AnyReply
 
 
-OF_RUNNERS = (Beat, Collect, Drop, Find, HurryLoad, Submit)
+RUNNER_REQUESTS = (Beat, Collect, Drop, Find, HurryLoad, Submit)
 
 
 class PeerRequestHandler:
-    """Answers peers."""
+    """Dispatches each request of a peer to the part of the gateway that handles it.
+
+    :param store_relay: passes store calls on for peers that can't reach the store themselves
+    :param hosting: runs samples of engines without a sidecar; requests for runners go there
+    """
 
     def __init__(
         self,
         peers: Peers,
         owner: LotOwner,
         reader: LotReader,
-        store_calls: StoreRelay,
+        store_relay: StoreRelay,
         hosting: HostedRunners | None = None,
         beliefs: Beliefs | None = None,
         crashes: CrashSharing | None = None,
@@ -68,53 +72,53 @@
         self.peers = peers
         self.owner = owner
         self.reader = reader
-        self.store_calls = store_calls
-        self.by_kind: dict[type, Callable[[Any], AnyReply]] = {
-            MirrorBeat: lambda ask: peers.mirror_sync.copy_for(ask),
-            MirrorChanges: self._take_changes,
-            FindLot: lambda ask: reader.elsewhere.find_for_peer(ask),
-            ReadLot: lambda ask: reader.page_for_peer(ask),
-            ReadBody: lambda ask: reader.body_for_peer(ask),
-            EndLot: self._end,
-            EndKept: self._end_kept,
+        self.store_relay = store_relay
+        self.handlers: dict[type, Callable[[Any], AnyReply]] = {
+            MirrorBeat: lambda request: peers.mirror_sync.copy_for(request),
+            MirrorChanges: self._apply_changes,
+            FindLot: lambda request: reader.elsewhere.find_for_peer(request),
+            ReadLot: lambda request: reader.page_for_peer(request),
+            ReadBody: lambda request: reader.body_for_peer(request),
+            EndLot: self._end_lot,
+            EndKept: self._end_stored_lot,
             Adopt: self._adopt,
             Inspect: self.beliefs.answer,
         }
-        if store_calls is not None:
-            self.by_kind[CallStore] = store_calls.answer
+        if store_relay is not None:
+            self.handlers[CallStore] = store_relay.answer
         if crashes is not None:
-            self.by_kind[CrashesTold] = crashes.receive
-            self.by_kind[Acquit] = crashes.acquit
+            self.handlers[CrashesTold] = crashes.receive
+            self.handlers[Acquit] = crashes.acquit
         if duties is not None:
-            self.by_kind[ReadUsage] = duties.collecting.counting.answer
-            self.by_kind[UsageLeft] = duties.take_last
+            self.handlers[ReadUsage] = duties.collecting.counting.answer
+            self.handlers[UsageLeft] = duties.take_last
         if hosting is not None:
-            self.by_kind |= dict.fromkeys(OF_RUNNERS, hosting.handle)
+            self.handlers |= dict.fromkeys(RUNNER_REQUESTS, hosting.handle)
 
-    def handle(self, ask: AnyAsk) -> AnyReply:
-        """Answer one question; what a gateway is not asked is answered with nothing."""
-        answer = self.by_kind.get(type(ask))
-        return answer(ask) if answer is not None else Done()
+    def handle(self, request: AnyAsk) -> AnyReply:
+        """Handle one request; a kind without a handler gets an empty ``Done``."""
+        handler = self.handlers.get(type(request))
+        return handler(request) if handler is not None else Done()
 
-    def _take_changes(self, ask: MirrorChanges) -> Done:
-        self.peers.mirror_sync.apply_changes(ask)
+    def _apply_changes(self, request: MirrorChanges) -> Done:
+        self.peers.mirror_sync.apply_changes(request)
         return Done()
 
-    def _end_kept(self, ask: EndKept) -> LotEnded:
-        runs_here = self.owner.ended_elsewhere(ask.kept)
+    def _end_stored_lot(self, request: EndKept) -> LotEnded:
+        runs_here = self.owner.ended_elsewhere(request.kept)
         return LotEnded(runs_here, runs_here)
 
-    def _adopt(self, ask: Adopt) -> Done:
-        self.owner.adopt(ask.kept)
+    def _adopt(self, request: Adopt) -> Done:
+        self.owner.adopt(request.kept)
         return Done()
 
-    def _end(self, ask: EndLot) -> LotEnded:
-        if self.owner.owned.get(ask.lot) is None:
+    def _end_lot(self, request: EndLot) -> LotEnded:
+        if self.owner.owned.get(request.lot) is None:
             return LotEnded(False, False)
         try:
-            return LotEnded(True, self.owner.end(ask.lot))
+            return LotEnded(True, self.owner.end(request.lot))
         except (StoreError, LotMissingError) as error:
-            log_state("end_not_kept", lot=ask.lot, asker=ask.sender, error=str(error))
+            log_state("lot_end_not_stored", lot=request.lot, asker=request.sender, error=str(error))
             return LotEnded(True, False)
 
 
--- a/src/threadramp/serve/process.py
+++ b/src/threadramp/serve/process.py
@@ -1,4 +1,4 @@
-"""What the processes share: settings, signals, the stop, and their registry."""
+"""The base of all processes: settings, signals, planned stop, and the registry of roles."""
 
 from __future__ import annotations
 
@@ -24,59 +24,64 @@
     from threadramp.serve.service_settings import ServiceSettings
 
 ROLES: Registry[type[Process]] = Registry()
-SETTINGS_LOOK_S = 1.0  # how often the settings file is looked at; it changes without a signal too
-BAD_SETTINGS = 2  # exit code
+SETTINGS_CHECK_INTERVAL_S = 1.0  # the settings file may also change without a SIGHUP
+EXIT_INVALID_SETTINGS = 2
 
 
 class Process:
-    """Base of the processes.
+    """Base class of the processes.
 
-    :param settings: as they were at the start; what may change is read again
-    :param stamp: tells the state of the settings file from which they were read
-    :param own: our own settings; they hold until the process ends
+    :param settings: the platform's settings for this box; read again when the file changes
+    :param settings_version: version of the settings file from which they were read
+    :param service_settings: threadramp's own settings; fixed until the process exits
     """
 
-    def __init__(self, settings: BoxSettings, stamp: tuple[int, int], own: ServiceSettings) -> None:
+    def __init__(
+        self,
+        settings: BoxSettings,
+        settings_version: tuple[int, int],
+        service_settings: ServiceSettings,
+    ) -> None:
         self.settings = settings
-        self.own = own
-        self.stamp = stamp
+        self.service_settings = service_settings
+        self.settings_version = settings_version
         self.incarnation = secrets.token_hex(4)
-        self.stop = threading.Event()
-        self.reload = threading.Event()
+        self.stop_requested = threading.Event()
+        self.reload_requested = threading.Event()
 
     def start(self) -> None:
-        """Start serving."""
+        """Start all parts and return."""
         raise NotImplementedError
 
-    def finish(self) -> None:
-        """Finish what is open, within the time that the platform gives."""
+    def shut_down(self) -> None:
+        """Finish open requests within the grace period of the platform."""
 
-    def changed(self, settings: BoxSettings) -> None:
-        """Take over changed settings; nothing that is open is dropped."""
+    def apply_settings(self, settings: BoxSettings) -> None:
+        """Apply changed settings; open requests and connections are kept."""
         self.settings = settings
 
     def run(self) -> None:
-        """Serve until a planned stop."""
-        signal.signal(signal.SIGTERM, lambda *_: self.stop.set())
-        signal.signal(signal.SIGINT, lambda *_: self.stop.set())
-        signal.signal(signal.SIGHUP, lambda *_: self.reload.set())
+        """Serve until SIGTERM or SIGINT requests a planned stop."""
+        signal.signal(signal.SIGTERM, lambda *_: self.stop_requested.set())
+        signal.signal(signal.SIGINT, lambda *_: self.stop_requested.set())
+        signal.signal(signal.SIGHUP, lambda *_: self.reload_requested.set())
         name = type(self).__name__
         log_state(
             "start",
             process=name,
             box=self.settings.name,
             incarnation=self.incarnation,
-            own=msgspec.to_builtins(self.own),
+            own=msgspec.to_builtins(self.service_settings),
         )
         self.start()
-        while not self.stop.wait(SETTINGS_LOOK_S):
-            now = _stamp()
-            if self.reload.is_set() or now != self.stamp:
-                self.reload.clear()
-                self.stamp = now
+        while not self.stop_requested.wait(SETTINGS_CHECK_INTERVAL_S):
+            version = _settings_file_version()
+            if self.reload_requested.is_set() or version != self.settings_version:
+                self.reload_requested.clear()
+                self.settings_version = version
                 self._reload()
         log_state("stopping", process=name, box=self.settings.name)
-        self.finish()
+        self.shut_down()
         log_state("stopped", process=name, box=self.settings.name)
         flush_logs()
 
@@ -84,14 +89,14 @@
         try:
             settings = read_settings(settings_path())
         except FindingsError as error:
-            log_state("settings_refused", findings=[str(one) for one in error.findings])
+            log_state("settings_refused", findings=[str(finding) for finding in error.findings])
             return
         log_state("reload", box=settings.name, changed=settings != self.settings)
-        self.changed(settings)
+        self.apply_settings(settings)
 
 
 def run_in_background(work: Callable[[], object]) -> threading.Thread:
-    """Start work that the end of the process does not wait for."""
+    """Run work in a daemon thread, which does not delay the exit of the process."""
     thread = threading.Thread(target=work, daemon=True)
     thread.start()
     return thread
@@ -100,26 +105,26 @@
 def serve(role: str) -> int:
     """Run the process of a role and return its exit code."""
     log_to_stdout()
-    stamp = _stamp()  # before the file is read, so that no change after it is missed
+    version = _settings_file_version()  # taken before the read, so that no later change is missed
     try:
         settings = read_settings(settings_path())
-        own = read_service_settings()
+        service_settings = read_service_settings()
     except FindingsError as error:
-        log_state("settings_refused", findings=[str(one) for one in error.findings])
+        log_state("settings_refused", findings=[str(finding) for finding in error.findings])
         flush_logs()
-        return BAD_SETTINGS
-    ROLES[role](settings, stamp, own).run()
-    os._exit(0)  # threads that still wait for an answer would hold the process up
+        return EXIT_INVALID_SETTINGS
+    ROLES[role](settings, version, service_settings).run()
+    os._exit(0)  # a normal exit would wait for threads that are blocked on a response
 
 
-def _stamp() -> tuple[int, int]:
-    """Return what tells two states of the settings file apart."""
+def _settings_file_version() -> tuple[int, int]:
+    """Return the modification time in ns and the size; (0, 0) if the file can't be read."""
     try:
-        found = settings_path().stat()
+        status = settings_path().stat()
     except OSError as error:
         print(f"settings file: {error}", file=sys.stderr)
         return (0, 0)
-    return (found.st_mtime_ns, found.st_size)
+    return (status.st_mtime_ns, status.st_size)
 
 
 __all__ = ["ROLES", "Process", "run_in_background", "serve"]
--- a/src/threadramp/serve/service_settings.py
+++ b/src/threadramp/serve/service_settings.py
@@ -1,4 +1,4 @@
-"""Our own settings on the users' platform: what its settings file does not name."""
+"""Settings of threadramp itself: those that the platform's settings file does not hold."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 from threadramp.config.findings import Finding, FindingsError
 from threadramp.policy.listing_policy import LISTINGS
 
-SETTINGS_FILE = Path("deploy", "threadramp.toml")  # processes begin at the root of the checkout
+SETTINGS_FILE = Path("deploy", "threadramp.toml")  # processes start at the root of the checkout
 
 
 class WeightSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How engines are brought to the versions that trainers name.
+    """How engines load the versions that trainers publish.
 
-    :param versions_apart: 1 if each engine loads each version, 2 if half of a pool loads the even
-        and half the odd ones: half as many loads, and samples up to one version older
+    :param versions_apart: 1 if each engine loads every version, 2 if half of a pool loads the even
+        and half the odd versions: half as many loads, but samples may be one version older
     """
 
     versions_apart: int = 1
 
 
 class LotSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How lots are run.
+    """How the results of lots are stored.
 
-    :param listing: when results are written, one of ``policy/listing_policy.py``
+    :param listing: when results are written to the store, a policy of ``policy/listing_policy.py``
     """
 
     listing: str = "at_once"
 
 
 class ServiceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All of them."""
+    """All settings of threadramp itself."""
 
     weights: WeightSettings = WeightSettings()
     lots: LotSettings = LotSettings()
 
 
 def read_service_settings(path: Path = SETTINGS_FILE) -> ServiceSettings:
-    """Read the file; the usual values hold where there is none.
+    """Read the settings file; the defaults apply if it does not exist.
 
-    :raises FindingsError: if it can not be read, with the place
+    :raises FindingsError: if the file can't be read or a value is invalid; names the file or key
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -51,17 +51,17 @@
     except (OSError, UnicodeDecodeError) as error:
         raise FindingsError([Finding(str(path), str(error))]) from error
     try:
-        found = msgspec.convert(tomllib.loads(text), ServiceSettings)
+        settings = msgspec.convert(tomllib.loads(text), ServiceSettings)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise FindingsError([Finding(str(path), str(error))]) from error
-    if found.weights.versions_apart not in (1, 2):
+    if settings.weights.versions_apart not in (1, 2):
         finding = Finding(
-            "weights.versions_apart", "expected 1 or 2: lots allow the version before"
+            "weights.versions_apart", "expected 1 or 2: lots accept samples at most one version old"
         )
         raise FindingsError([finding])
-    if found.lots.listing not in LISTINGS:
+    if settings.lots.listing not in LISTINGS:
         raise FindingsError([Finding("lots.listing", f"expected one of {sorted(LISTINGS)}")])
-    return found
+    return settings
 
 
 __all__ = [
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar's process: its parts, put together."""
+"""The sidecar process: creates, connects and starts its parts."""
 
 from __future__ import annotations
 
@@ -31,59 +31,68 @@
 if TYPE_CHECKING:
     from threadramp.platform.store_model import Call, RawAnswer
 
-THREADS = 16  # gateways that may wait for news at once, with room for short questions
-LAST_WORDS_S = 1.5  # gateways collect the last events of the samples that were ended
-LEAVE_S = 0.5  # the list of members drops a process that does not take itself out as well
+THREADS = 16  # for gateways that wait for updates at the same time, and for short requests besides
+FINAL_COLLECT_S = 1.5  # in which gateways collect the last events of the interrupted samples
+LEAVE_TIMEOUT_S = 0.5  # enough: the member list also drops a process that fails to remove itself
 
 
 @ROLES.register("sidecar")
 class SidecarProcess(Process):
-    """Runs samples at the engine beside it."""
+    """Runs samples on the engine of its box."""
 
     def start(self) -> None:
-        """Start all parts."""
-        own = self.settings
+        """Create all parts and start them."""
+        settings = self.settings
         clock = Clock()
-        address = f"{own.ip}:{own.peer_port}"
+        address = f"{settings.ip}:{settings.peer_port}"
         member = Member(
-            own.name, "sidecar", self.incarnation, address, own.data_centre, own.endpoint
+            settings.name,
+            "sidecar",
+            self.incarnation,
+            address,
+            settings.data_centre,
+            settings.endpoint,
         )
         self.metrics = Metrics("threadramp")
         health = StoreHealth(
             clock, silence_limit_s=math.inf
-        )  # renewals of large fleets are 9 s apart
+        )  # infinite: in large fleets renewals are 9 s apart
         client = SyncClient(Packing(), decode_reply, redial=True)
         tally = CallTally(self.metrics, "sidecar")
         tally.start()
-        store = StoreClient(own.store.address, self._relay, health.observe, count=tally.note)
-        engine = Engine(own.endpoint, own.pool, own.name, clock)
-        apart_s = own.bounds.holders_apart_s
-        right = make_engine_lock(store, own.endpoint, own.name, apart_s, clock)
-        weights = WeightLoader(engine, clock, right, self.own.weights.versions_apart)
+        store = StoreClient(settings.store.address, self._relay, health.observe, count=tally.note)
+        engine = Engine(settings.endpoint, settings.pool, settings.name, clock)
+        takeover_delay_s = settings.bounds.holders_apart_s
+        engine_lock = make_engine_lock(
+            store, settings.endpoint, settings.name, takeover_delay_s, clock
+        )
+        weights = WeightLoader(
+            engine, clock, engine_lock, self.service_settings.weights.versions_apart
+        )
         table = RunTable(clock.now)
         self.sidecar = Sidecar(member, engine, weights, table, client, clock, self.metrics)
-        self.membership = Membership(member, store, own.store.lease_min_s)
+        self.membership = Membership(member, store, settings.store.lease_min_s)
         self.membership.renew_s = lambda: renewal_interval_s(
-            self.sidecar.sidecar_count, own.store.reads_per_s
+            self.sidecar.sidecar_count, settings.store.reads_per_s
         )
         self.sidecar.on_unlisted = self.membership.mark_unlisted
         self.sidecar.store_relay = StoreRelay(store, health)
         beliefs = Beliefs()
         beliefs.add("endpoint", RunnerInspector(self.sidecar).endpoint)
         self.sidecar.beliefs = beliefs
-        self.server = SyncServer(address, Packing(), self.sidecar.handle, THREADS, decode_ask)
+        self.peer_server = SyncServer(address, Packing(), self.sidecar.handle, THREADS, decode_ask)
         self.membership.start()
         self.sidecar.start()
-        self.figures = serve_metrics(own.ip, self.metrics)
+        self.metrics_server = serve_metrics(settings.ip, self.metrics)
 
     def _relay(self, call: Call) -> RawAnswer | None:
         return self.sidecar.relay(call)
 
-    def finish(self) -> None:
-        """Give the samples back, then leave."""
+    def shut_down(self) -> None:
+        """Return the samples to their gateways, then leave the member list."""
         self.sidecar.leave()
-        time.sleep(LAST_WORDS_S)
-        run_in_background(self.membership.leave).join(LEAVE_S)
+        time.sleep(FINAL_COLLECT_S)
+        run_in_background(self.membership.leave).join(LEAVE_TIMEOUT_S)
 
 
 __all__ = ["SidecarProcess"]
--- a/tests/serve/test_deploy.py
+++ b/tests/serve/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file, without the platform."""
+"""The deploy file agrees with the code and the requirements; checked without the platform."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 CLASSES = {"front", "side", "store"}
 
 
-def test_each_class_that_owes_a_role_has_one():
+def test_each_class_of_boxes_is_served_by_one_role():
     served = [name for role in DEPLOY["roles"].values() for name in role["serves"]]
     assert sorted(served) == sorted(CLASSES)
     assert {role["on"] for role in DEPLOY["roles"].values()} <= CLASSES
 
 
 @pytest.mark.parametrize("name", sorted(DEPLOY["roles"]))
-def test_a_roles_command_runs_a_module_that_is_there(name):
+def test_the_command_of_a_role_runs_an_existing_module(name):
     program, script, role = DEPLOY["roles"][name]["run"].split()
     assert (program, role) == ("python3", name)
     assert (ROOT / script).is_file()
     assert (ROOT / "src" / "threadramp" / "serve" / f"{role}.py").is_file()
 
 
-def test_the_metrics_address_is_the_one_that_is_served():
+def test_the_metrics_address_is_the_one_served():
     served = f"{METRICS_PORT}{METRICS_PATH}"
     assert PORTS["metrics"] == METRICS_PORT
     assert [DEPLOY["roles"][name]["metrics"] for name in ("gateway", "sidecar")] == [served] * 2
--- a/tests/serve/test_service_settings.py
+++ b/tests/serve/test_service_settings.py
@@ -1,4 +1,4 @@
-"""Our own settings file on the platform."""
+"""Reading threadramp's own settings file."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "threadramp.toml"
 
 
-def test_the_file_that_is_deployed_is_good():
+def test_the_deployed_file_is_valid():
     assert read_service_settings(DEPLOYED) == ServiceSettings()
 
 
-def test_without_a_file_the_usual_values_hold(tmp_path):
+def test_without_a_file_the_defaults_apply(tmp_path):
     assert read_service_settings(tmp_path / "none.toml").weights.versions_apart == 1
 
 
@@ -31,7 +31,7 @@
         ("[weights\n", "own.toml"),
     ],
 )
-def test_bad_settings_are_refused_with_their_place(tmp_path, text, place):
+def test_invalid_settings_are_rejected_with_their_place(tmp_path, text, place):
     path = tmp_path / "own.toml"
     path.write_text(text)
     with pytest.raises(FindingsError) as failure:
