--- a/tests/serve/conftest.py
+++ b/tests/serve/conftest.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes for each test."""
+"""Fixture: a fleet of real processes for each test."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 @pytest.fixture
 def fleet(tmp_path, serve) -> Iterator[PlatformFleet]:
     made = PlatformFleet(tmp_path, serve)
-    try:  # a set-up that fails leaves no process behind either
+    try:  # a failed setup must not leave processes behind either
         made.start()
         yield made
     finally:
--- a/tests/serve/test_cut_way.py
+++ b/tests/serve/test_cut_way.py
@@ -1,4 +1,4 @@
-"""What lies on a way that is cut, and when it comes."""
+"""A partitioned proxy: which delayed data it delivers after the partition, and when."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tests.serve.cut_way import CutWay, repeated_after_s
 
 RESET = struct.pack("ii", 1, 0)
-SOON_S = 0.15
-CUT_S = 0.3
-COMES_S = 1.5
+MIN_RETRANSMISSION_S = 0.15
+PARTITION_S = 0.3
+DELIVERY_S = 1.5
 
 
 @pytest.fixture
 def ends():
-    """A connection through a way: its way, its caller's end and the listener behind the way."""
+    """A connection through a proxy: the proxy, the caller's socket and the listener behind it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        listener.settimeout(COMES_S)
+        listener.settimeout(DELIVERY_S)
         host, port = listener.getsockname()
         way = CutWay(f"{host}:{port}")
         way_host, _, way_port = way.address.partition(":")
@@ -30,60 +30,60 @@
         way.close()
 
 
-def received(one: socket.socket, seconds: float) -> bytes:
-    one.settimeout(seconds)
+def receive(sock: socket.socket, seconds: float) -> bytes:
+    sock.settimeout(seconds)
     try:
-        return one.recv(100)
+        return sock.recv(100)
     except TimeoutError:
         return b""
 
 
 def pass_first(caller: socket.socket, listener: socket.socket) -> socket.socket:
-    """Let something pass, so that the way knows the connection; returns the other end."""
+    """Send data, so that the proxy knows the connection; return the other end."""
     caller.sendall(b"first")
     behind, _ = listener.accept()
-    assert received(behind, COMES_S) == b"first"
+    assert receive(behind, DELIVERY_S) == b"first"
     return behind
 
 
-def test_what_is_sent_meanwhile_comes_after_the_mend_as_a_kernel_sends_it_again(ends):
+def test_data_sent_meanwhile_arrives_after_the_partition_like_a_retransmission(ends):
     way, caller, listener = ends
     with pass_first(caller, listener) as behind:
         way.cut(1.0, 1.0, Random(1))
         caller.sendall(b"second")
-        assert received(behind, CUT_S) == b""
-        mended_at = time.monotonic()
+        assert receive(behind, PARTITION_S) == b""
+        healed_at = time.monotonic()
         way.mend()
-        assert received(behind, COMES_S) == b"second"
-        assert time.monotonic() - mended_at > SOON_S
+        assert receive(behind, DELIVERY_S) == b"second"
+        assert time.monotonic() - healed_at > MIN_RETRANSMISSION_S
         assert len(way.mended_at) == 1
 
 
-def test_it_comes_also_where_the_connection_was_closed_meanwhile(ends):
+def test_it_also_arrives_if_the_connection_was_closed_meanwhile(ends):
     way, caller, listener = ends
     with pass_first(caller, listener) as behind:
         way.cut(1.0, 1.0, Random(1))
         caller.sendall(b"second")
         caller.close()
-        assert received(behind, CUT_S) == b""
+        assert receive(behind, PARTITION_S) == b""
         way.mend()
-        assert received(behind, COMES_S) == b"second"
+        assert receive(behind, DELIVERY_S) == b"second"
 
 
-def test_nothing_comes_of_a_connection_that_was_reset_meanwhile(ends):
+def test_nothing_arrives_from_a_connection_that_was_reset_meanwhile(ends):
     way, caller, listener = ends
     with pass_first(caller, listener) as behind:
         way.cut(1.0, 1.0, Random(1))
         caller.sendall(b"second")
-        assert received(behind, CUT_S) == b""
+        assert receive(behind, PARTITION_S) == b""
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         caller.close()
         way.mend()
-        assert received(behind, COMES_S) == b""
+        assert receive(behind, DELIVERY_S) == b""
 
 
-@pytest.mark.parametrize(("share_of_new", "comes"), [(0.0, b"first"), (1.0, b"")])
-def test_new_connections_work_or_not(ends, share_of_new, comes):
+@pytest.mark.parametrize(("share_of_new", "expected"), [(0.0, b"first"), (1.0, b"")])
+def test_a_share_of_new_connections_works(ends, share_of_new, expected):
     way, caller, listener = ends
     way.cut(0.0, share_of_new, Random(1))
     host, _, port = way.address.partition(":")
@@ -91,11 +91,11 @@
         one.sendall(b"first")
         behind = [listener.accept()[0] for _ in range(2)][1]
         with behind:
-            assert received(behind, CUT_S) == comes
+            assert receive(behind, PARTITION_S) == expected
 
 
 @pytest.mark.parametrize(
     ("held_s", "after_s"), [(0.1, 0.2), (0.3, 0.6), (0.7, 1.4), (2.0, 3.0), (5.0, 6.2)]
 )
-def test_pauses_double(held_s, after_s):
+def test_the_retransmission_delay_doubles(held_s, after_s):
     assert repeated_after_s(held_s) == pytest.approx(after_s)
--- a/tests/serve/test_fleet.py
+++ b/tests/serve/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the scenarios itself: what its start waits for."""
+"""The fleet that these tests use: what its start waits for."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 def test_a_gateway_that_starts_late_does_not_keep_the_fleet_from_starting(tmp_path, serve):
-    """A count of members took the holder's key for a box, and waited in vain for the right sum."""
+    """The start counted the key of the duties' holder as a member and waited until it timed out."""
     fleet = PlatformFleet(tmp_path, serve, gateways=2, engines=1, window_s=2.0)
     late = fleet.gateways[1]
     start = late.start
 
     def start_late() -> None:
-        wait_for(lambda: fleet.keys("member/.duties"), "the duties are held")
+        wait_for(lambda: fleet.keys("member/.duties"), "a box holds the duties")
         start()
 
     late.start = start_late
--- a/tests/serve/test_soak_checks.py
+++ b/tests/serve/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The checks of the soak themselves: what they find, and what they let pass."""
+"""The checks of the soak test: which violations they report, and what they accept."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 SIDE, FRONT = "side-0", "front-1"
 
 
-def order(holder: str, number: int, at: float, status: int = 202) -> dict:
-    return {"holder": holder, "fence": number, "at": at, "version": 2, "status": status}
+def order(holder: str, token: int, at: float, status: int = 202) -> dict:
+    return {"holder": holder, "fence": token, "at": at, "version": 2, "status": status}
 
 
-def watch(orders: list[dict], thawed: float = -1.0, mended: float = -1.0) -> OrderWatch:
+def watch(orders: list[dict], resumed: float = -1.0, healed: float = -1.0) -> OrderWatch:
     engine = PlatformEngine({"instance": "i-e0"})
     engine.arrived += orders
-    thaws = {SIDE: [thawed]}
-    return OrderWatch([engine], lambda name: thaws.get(name, ()), lambda _: [mended], 3.0)
+    resumes = {SIDE: [resumed]}
+    return OrderWatch([engine], lambda name: resumes.get(name, ()), lambda _: [healed], 3.0)
 
 
 @pytest.mark.parametrize(
@@ -32,36 +32,36 @@
         ([order(SIDE, 9, 1.0), order(FRONT, 12, 2.0), order(SIDE, 14, 3.5)], "in turns"),
     ],
 )
-def test_orders_of_two_holders_are_found(orders, word):
+def test_orders_of_two_holders_are_reported(orders, word):
     (found,) = watch(orders).look()
     assert found.startswith("i-e0: ")
     assert word in found
 
 
-def test_what_was_seen_once_is_told_once_and_to_the_end():
-    seen = watch([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)])
-    assert seen.look() == seen.look()
-    assert len(seen.look()) == 1
+def test_a_violation_is_reported_once_and_stays_reported():
+    order_watch = watch([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)])
+    assert order_watch.look() == order_watch.look()
+    assert len(order_watch.look()) == 1
 
 
-def test_holders_one_after_the_other_are_in_order():
+def test_successive_holders_are_accepted():
     orders = [order(SIDE, 9, 1.0), order(SIDE, 9, 2.0), order(FRONT, 12, 8.0), order(SIDE, 14, 15)]
     assert watch(orders).look() == []
 
 
 @pytest.mark.parametrize(("since", "counts"), [(0.2, False), (0.4, True), (-0.1, True)])
-def test_what_arrives_right_after_a_thaw_or_a_mend_does_not_count(since, counts):
+def test_orders_right_after_a_resume_or_a_healed_partition_are_ignored(since, counts):
     orders = [order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)]
-    assert bool(watch(orders, thawed=9.0 - since).look()) is counts
-    assert bool(watch(orders, mended=9.0 - since).look()) is counts
+    assert bool(watch(orders, resumed=9.0 - since).look()) is counts
+    assert bool(watch(orders, healed=9.0 - since).look()) is counts
 
 
-def test_a_thaw_of_another_box_counts_for_nothing():
+def test_a_resume_of_another_box_is_ignored():
     orders = [order(FRONT, 12, 1.0), order("side-1", 9, 9.0)]
-    assert watch(orders, thawed=8.9).look()
+    assert watch(orders, resumed=8.9).look()
 
 
-def made(run: str, numbers: range, after: int = 0, version: int = 1) -> list[MadeEvent]:
+def generated(run: str, numbers: range, after: int = 0, version: int = 1) -> list[MadeEvent]:
     return [MadeEvent(n, f"s1-{n} {run}", run, after, version) for n in numbers]
 
 
@@ -69,13 +69,13 @@
     return "\n".join(event.line for event in events)
 
 
-def test_a_text_that_was_made_for_it_is_right():
-    whole = made("a", range(1, 4))
-    assert wrong_text(text(*whole), [1], whole, EVENTS) == []
+def test_a_text_that_was_generated_for_its_sample_is_accepted():
+    events = generated("a", range(1, 4))
+    assert wrong_text(text(*events), [1], events, EVENTS) == []
 
 
-def test_a_text_that_goes_on_where_it_was_asked_to_is_right():
-    first, second = made("a", range(1, 3)), made("b", range(2, 4), after=1, version=2)
+def test_a_text_that_was_resumed_at_the_requested_event_is_accepted():
+    first, second = generated("a", range(1, 3)), generated("b", range(2, 4), after=1, version=2)
     both = [*first, *second]
     assert wrong_text(text(first[0], *second), [1, 2], both, EVENTS) == []
 
@@ -91,6 +91,6 @@
         (["s1-1 a", "s1-2 a", "s1-3 a"], [], "versions"),
     ],
 )
-def test_texts_that_were_not_made_so_are_found(lines, versions, word):
-    events = [*made("a", range(1, 4)), *made("b", range(1, 4))]
+def test_texts_that_were_not_generated_so_are_reported(lines, versions, word):
+    events = [*generated("a", range(1, 4)), *generated("b", range(1, 4))]
     assert any(word in one for one in wrong_text("\n".join(lines), versions, events, EVENTS))
--- a/tests/serve/test_stuttered_reports.py
+++ b/tests/serve/test_stuttered_reports.py
@@ -1,4 +1,4 @@
-"""Reports of an engine that answers twice, over real processes."""
+"""Reports of an engine that sends duplicate responses, over real processes."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @pytest.fixture
 def stuttering(tmp_path, serve):
-    """One engine with its sidecar, behind a front."""
+    """Start one engine with its sidecar, behind a proxy that can duplicate responses."""
     fronts: list[StutteringFront] = []
 
-    def behind_front(standin, *listen: str) -> str:
+    def serve_behind_proxy(standin, *listen: str) -> str:
         address = serve(standin, *listen)
         if not is_engine(standin):
             return address
         fronts.append(StutteringFront(address))
         return fronts[0].address
 
-    fleet = PlatformFleet(tmp_path, behind_front, gateways=1, engines=1)
+    fleet = PlatformFleet(tmp_path, serve_behind_proxy, gateways=1, engines=1)
     try:
         fleet.start()
         yield fleet, fronts[0]
@@ -32,7 +32,7 @@
             front.close()
 
 
-def test_an_engine_whose_samples_are_answered_twice_stays_ready(stuttering):
+def test_an_engine_with_duplicate_responses_to_samples_stays_ready(stuttering):
     fleet, front = stuttering
     side = fleet.sidecars[0]
     front.stutter = Stutter(
--- a/tests/serve/test_suspended.py
+++ b/tests/serve/test_suspended.py
@@ -1,10 +1,10 @@
-"""A box that was suspended, over a real process.
+"""A box is suspended and resumed, over a real process.
 
-Seen: news on the pages, that a box may be suspended and its steady clock does not count that time.
-How it comes about: a process that measures ages and deadlines with that clock takes what it
-believed before for fresh, and goes on with requests whose callers have long gone. Cause: the steady
-clock of the language's library is that one. Proof: on the code before, the request that was open is
-answered 1.4 s after the box goes on, though its time was over before.
+The platform's documentation says that a box may be suspended and that its monotonic clock does not
+count that time. A process that measures ages and deadlines with this clock, as that of Python's
+library, takes its old state for fresh and continues requests whose callers disconnected long
+before. Without the fix the open request is answered 1.4 s after the box resumes, although its
+deadline had passed before.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from tests.serve.fleet import CALLS, wait_for
 
 SUSPENDED_S = 4.0
-AT_ONCE_S = 0.4
+RESPONSE_S = 0.4
 LAUNCHER = Path(__file__).parent / "suspended.py"
 
 
 @pytest.fixture
-def sleeper(fleet, tmp_path):
-    """A gateway on a box that can be suspended; returns it and what suspends it."""
+def suspendable(fleet, tmp_path):
+    """Start a gateway on a box that can be suspended; return it and a function that suspends it."""
     box = fleet._box(tmp_path, "gateway", "front-sleeper")
     behind = tmp_path / "behind"
     behind.write_text("0", encoding="utf-8")
@@ -50,36 +50,36 @@
     return box, suspend
 
 
-def test_a_request_whose_time_is_over_by_then_is_given_up_at_once(fleet, sleeper):
-    box, suspend = sleeper
+def test_a_request_whose_deadline_passed_meanwhile_fails_at_once(fleet, suspendable):
+    box, suspend = suspendable
     fleet.callee.faults["hold_s"] = 10.0
     answers = []
 
-    def ask() -> None:
-        answer = box.call("POST", "/x", host=CALLS, body=b"q", X_Attempt_Id="r1", timeout_s=20.0)
-        answers.append((answer.status, time.monotonic()))
+    def send_request() -> None:
+        response = box.call("POST", "/x", host=CALLS, body=b"q", X_Attempt_Id="r1", timeout_s=20.0)
+        answers.append((response.status, time.monotonic()))
 
-    thread = threading.Thread(target=ask)
+    thread = threading.Thread(target=send_request)
     thread.start()
-    wait_for(lambda: any(run["id"] == "r1" for run in fleet.callee.runs), "it runs")
+    wait_for(lambda: any(run["id"] == "r1" for run in fleet.callee.runs), "the request runs")
     suspend()
-    goes_on = time.monotonic()
+    resumed_at = time.monotonic()
     thread.join()
     status, at = answers[0]
     assert status == 504
-    assert at - goes_on < AT_ONCE_S
+    assert at - resumed_at < RESPONSE_S
 
 
-def test_it_serves_by_what_holds_soon_after(fleet, sleeper):
-    """A route that went meanwhile is not served by what was believed before for long."""
-    box, suspend = sleeper
+def test_it_applies_a_changed_configuration_soon_after(fleet, suspendable):
+    """A route that was removed meanwhile is not served from the old configuration for long."""
+    box, suspend = suspendable
     threading.Timer(SUSPENDED_S / 2, lambda: fleet.configure(version=4, pathPrefix="/new/")).start()
     suspend()
-    goes_on = time.monotonic()
+    resumed_at = time.monotonic()
 
     def status(target: str) -> int:
         return box.call("POST", target, host=CALLS, body=b"q", X_Attempt_Id="r2").status
 
-    wait_for(lambda: status("/x") == 404, "the old route is gone", 3.0)
+    wait_for(lambda: status("/x") == 404, "the old route is removed", 3.0)
     assert status("/new/x") == 200
-    assert time.monotonic() - goes_on < 3.0
+    assert time.monotonic() - resumed_at < 3.0
