--- a/tests/serve/test_keys_taken_away.py
+++ b/tests/serve/test_keys_taken_away.py
@@ -1,4 +1,4 @@
-"""Keys that are taken away while gateways are turned away by the store, start, or hear nothing."""
+"""Keys are revoked while gateways can't reach the store, start, or get no response from it."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 OLD, NEW, OTHER = "acme-key-0123456789", "acme-next-012345678", "rival-key-987654321"
 BEFORE = {"acme": (OLD, NEW), "rival": (OTHER,)}
 AFTER = {"acme": (NEW,), "rival": (OTHER,)}
-IN_FORCE_S = 3.0  # the platform's bound for a change of the configuration
-ASK_EACH_S = 0.1
+MAX_CONFIGURATION_DELAY_S = 3.0  # the platform's bound
+REQUEST_INTERVAL_S = 0.1
 
 
 @pytest.fixture
 def make(tmp_path, serve):
-    """Returns three gateways that reach the store through ways, and those ways."""
+    """Return a function that starts three gateways behind proxies to the store; it returns both."""
     made = []
 
     def start(**bounds):
@@ -32,7 +32,10 @@
         made.append((fleet, ways))
         fleet.start()
         for gateway in fleet.gateways:
-            wait_for(lambda box=gateway: len(box.lines("member")) >= 4, f"{gateway.name} knows all")
+            wait_for(
+                lambda box=gateway: len(box.lines("member")) >= 4,
+                f"{gateway.name} knows all members",
+            )
         return fleet, ways
 
     yield start
@@ -42,8 +45,8 @@
             way.close()
 
 
-class Asker:
-    """Asks a gateway each tenth of a second with each key, and keeps what it said and when."""
+class KeyProbe:
+    """Sends a request with each key to a gateway each 0.1 s and records statuses and times."""
 
     def __init__(self, gateway) -> None:
         self.gateway = gateway
@@ -53,14 +56,14 @@
         self.thread.start()
 
     def _run(self) -> None:
-        while not self.stopped.wait(ASK_EACH_S):
+        while not self.stopped.wait(REQUEST_INTERVAL_S):
             for key in (OLD, NEW, OTHER):
                 sent = time.monotonic()
                 try:
                     status = self.gateway.call(
                         "POST", "/x/", host=CALLS, X_Attempt_Id="a", **bearer(key)
                     ).status
-                except Exception:  # it is not there just now
+                except Exception:  # the gateway isn't running
                     status = 0
                 self.rows.append((sent, key, status))
 
@@ -72,83 +75,83 @@
         return {status for sent, one, status in self.rows if one == key and sent > after}
 
 
-def test_a_key_is_away_everywhere_within_the_bound_also_where_the_store_turns_away(make):
+def test_a_key_is_revoked_everywhere_in_time_also_if_a_gateway_cannot_reach_the_store(make):
     fleet, ways = make()
     ways[1].shut()
     time.sleep(1.0)
-    askers = [Asker(gateway) for gateway in fleet.gateways]
+    probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(0.5)
-    taken_away = time.monotonic()
+    revoked_at = time.monotonic()
     fleet.configure(version=5, organisations=AFTER)
-    time.sleep(IN_FORCE_S + 1.5)
-    for asker in askers:
-        asker.stop()
-        assert asker.statuses(OLD, taken_away + IN_FORCE_S) == {401}
-        assert 401 not in asker.statuses(NEW, 0.0)
-        assert 401 not in asker.statuses(OTHER, 0.0)
+    time.sleep(MAX_CONFIGURATION_DELAY_S + 1.5)
+    for probe in probes:
+        probe.stop()
+        assert probe.statuses(OLD, revoked_at + MAX_CONFIGURATION_DELAY_S) == {401}
+        assert 401 not in probe.statuses(NEW, 0.0)
+        assert 401 not in probe.statuses(OTHER, 0.0)
 
 
-def test_a_gateway_that_starts_meanwhile_lets_no_old_key_in_and_no_good_one_out(make):
+def test_a_gateway_that_starts_meanwhile_accepts_no_revoked_key_and_refuses_no_valid_one(make):
     fleet, ways = make()
     ways[0].shut()
     time.sleep(1.0)
-    asker = Asker(fleet.gateways[2])
+    probe = KeyProbe(fleet.gateways[2])
     fleet.gateways[2].kill()
-    taken_away = time.monotonic()
+    revoked_at = time.monotonic()
     fleet.configure(version=5, organisations=AFTER)
     fleet.gateways[2].start()
-    wait_for(lambda: fleet.gateways[2].ready() == 200, "it is back")
+    wait_for(lambda: fleet.gateways[2].ready() == 200, "the gateway is ready again")
     time.sleep(1.0)
-    asker.stop()
-    assert asker.statuses(OLD, taken_away) <= {0, 401, 503}
-    assert asker.statuses(NEW, taken_away) <= {0, 200, 503}
-    assert 200 in asker.statuses(NEW, taken_away)
+    probe.stop()
+    assert probe.statuses(OLD, revoked_at) <= {0, 401, 503}
+    assert probe.statuses(NEW, revoked_at) <= {0, 200, 503}
+    assert 200 in probe.statuses(NEW, revoked_at)
 
 
-def test_while_the_store_is_silent_for_all_callers_are_served_on(make):
+def test_callers_stay_served_while_the_store_is_unresponsive_for_all(make):
     fleet, ways = make()
     for way in ways:
         way.silence()
         way.shut()
-    askers = [Asker(gateway) for gateway in fleet.gateways]
+    probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(6.5)
-    for asker in askers:
-        asker.stop()
-        assert asker.statuses(NEW, 0.0) == {200}
-        assert asker.statuses(OLD, 0.0) == {200}
+    for probe in probes:
+        probe.stop()
+        assert probe.statuses(NEW, 0.0) == {200}
+        assert probe.statuses(OLD, 0.0) == {200}
 
 
-def test_where_keys_must_be_away_everywhere_what_is_old_is_not_trusted(make):
-    """The one who is cut off from all refuses, truly and at once; the others know and go on."""
+def test_with_strict_revocation_an_old_configuration_is_not_trusted(make):
+    """A gateway cut off from all sources refuses at once with 503; informed ones keep serving."""
     fleet, ways = make(revokeStrict=True, revokeMs=2500, contactMs=2000)
-    askers = [Asker(gateway) for gateway in fleet.gateways]
+    probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(3.0)
-    for asker in askers:  # calm: nobody is refused, though most hear of the store through peers
-        assert asker.statuses(NEW, 0.0) == {200}
-    # While a sidecar lives, a gateway reads the store through it and rightly trusts what it shows.
+    for probe in probes:  # before the fault nobody is refused, though most gateways follow peers
+        assert probe.statuses(NEW, 0.0) == {200}
+    # While a sidecar runs, gateways read the store through it and rightly trust what they read.
     for sidecar in fleet.sidecars:
         sidecar.kill()
     shut_at = time.monotonic()
     for way in ways:
         way.shut()
     time.sleep(4.0)
-    for asker in askers:
-        asker.stop()
-        assert asker.statuses(NEW, shut_at + 2.5) == {503}
-        assert asker.statuses("", shut_at) == set()
+    for probe in probes:
+        probe.stop()
+        assert probe.statuses(NEW, shut_at + 2.5) == {503}
+        assert probe.statuses("", shut_at) == set()
 
 
-def test_a_gateway_that_reaches_the_store_through_a_sidecar_alone_serves_on(make):
-    """Its own way counts no more than another one: refusing would turn sound callers away."""
+def test_a_gateway_that_reaches_the_store_only_through_a_sidecar_keeps_serving(make):
+    """A relayed path counts as much as its own; refusing would reject valid callers."""
     fleet, ways = make(revokeStrict=True, revokeMs=2500, contactMs=2000)
     for way in ways:
         way.shut()
-    askers = [Asker(gateway) for gateway in fleet.gateways]
+    probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(2.0)
-    taken_away = time.monotonic()
+    revoked_at = time.monotonic()
     fleet.configure(version=5, organisations=AFTER)
     time.sleep(4.0)
-    for asker in askers:
-        asker.stop()
-        assert asker.statuses(NEW, 0.0) == {200}
-        assert asker.statuses(OLD, taken_away + 2.5) == {401}
+    for probe in probes:
+        probe.stop()
+        assert probe.statuses(NEW, 0.0) == {200}
+        assert probe.statuses(OLD, revoked_at + 2.5) == {401}
--- a/tests/serve/test_restarts.py
+++ b/tests/serve/test_restarts.py
@@ -1,11 +1,12 @@
-"""An engine crashes and starts again under its id, knowing nothing of before, over real processes.
-
-Seen: told by the users as possible, no run showed it. How it came about: a sidecar bound what it
-knew of its engine to the id alone. Cause: a pending order outlasted the start that had taken it, so
-that for 4 s nothing was loaded and no sample of that model was let in; a start that had refused a
-request as another one was never used again; behind a cut, samples waited for the events of before.
-Proof: where a start is its id alone, the scenarios of the load, of the report, of the late write
-and of the other writers fail; the others hold what connections showed before.
+"""An engine crashes and restarts under the same id without any state, over real processes.
+
+The users described this case as possible; no run had shown it. A sidecar bound its knowledge of an
+engine to the id alone. A pending order outlived the incarnation that had accepted it, so for 4 s no
+version was loaded and no sample of that model was admitted; an incarnation that had refused a
+request because it was addressed to another one was never used again; and during a network partition
+samples waited for events of the previous incarnation. If an incarnation is identified by its id
+alone, the tests of the load, the report, the late write and the other writers fail; the remaining
+ones cover behaviour that broken connections already revealed.
 """
 
 from __future__ import annotations
@@ -18,18 +19,18 @@
 from tests.serve.way import Way, serve_behind
 
 SAMPLES = 8
-SOON_S = 2.5  # a report each 0.2 s, a change of the list, and a round of samples
-BORN = 1_700_000_000_000
+RECOVERY_S = 2.5  # a report each 0.2 s, a change of the entry, and a round of dispatching
+START_TIME_MS = 1_700_000_000_000
 
 
 @pytest.fixture
 def behind_ways(tmp_path, serve):
-    """A fleet of one engine, which is reached through a way that can be cut."""
+    """Start a fleet with one engine that is reached through a proxy which can be partitioned."""
     made: list[Way] = []
     fleet = PlatformFleet(tmp_path, serve_behind(serve, made, is_engine), engines=1)
     (engine,) = fleet.engines
-    engine.born = BORN
-    fleet.register(engine.instance, "engines", made[0].address, born=BORN)
+    engine.born = START_TIME_MS
+    fleet.register(engine.instance, "engines", made[0].address, born=START_TIME_MS)
     try:
         fleet.start()
         yield fleet, made[0]
@@ -45,73 +46,73 @@
     wait_for(lambda: fleet.engines[0].runs, "a sample began")
 
 
-def start_again(fleet, way, told: bool = True) -> None:
+def restart_engine(fleet, way, is_registered: bool = True) -> None:
     (engine,) = fleet.engines
-    engine.start_again(BORN + 1)
-    if told:
-        fleet.register(engine.instance, "engines", way.address, born=BORN + 1)
+    engine.start_again(START_TIME_MS + 1)
+    if is_registered:
+        fleet.register(engine.instance, "engines", way.address, born=START_TIME_MS + 1)
 
 
-def test_in_the_midst_of_samples(behind_ways):
+def test_a_restart_during_samples(behind_ways):
     fleet, way = behind_ways
     begin_lot(fleet)
     time.sleep(0.5)
-    start_again(fleet, way)
+    restart_engine(fleet, way)
     before = len(fleet.engines[0].runs)
-    wait_for(lambda: len(fleet.engines[0].runs) > before, "samples go on", SOON_S)
+    wait_for(lambda: len(fleet.engines[0].runs) > before, "samples are resumed", RECOVERY_S)
     assert len(fleet.whole(fleet.gateways[0], "lot1")) == SAMPLES
 
 
-def test_in_the_midst_of_a_load(behind_ways):
-    """The order went with the start that took it; the next one is ordered at once."""
+def test_a_restart_during_a_load(behind_ways):
+    """The order is lost with the incarnation that accepted it; the next one is sent at once."""
     fleet, way = behind_ways
     (engine,) = fleet.engines
     engine.faults["load_s"] = 3.0
     fleet.name_version(2)
     wait_for(lambda: engine.orders, "a load is ordered")
     engine.faults["load_s"] = 0.1
-    start_again(fleet, way)
-    wait_for(lambda: engine.versions["m"] == 2, "the version is loaded", SOON_S)
+    restart_engine(fleet, way)
+    wait_for(lambda: engine.versions["m"] == 2, "the version is loaded", RECOVERY_S)
     assert engine.orders[-1]["expected"] == 0
 
 
-def test_behind_a_cut(behind_ways):
-    """It restarts while its connections pass nothing; nobody hears that the streams have ended."""
+def test_a_restart_during_a_partition(behind_ways):
+    """It restarts while its connections deliver nothing; nobody learns that streams have ended."""
     fleet, way = behind_ways
     begin_lot(fleet)
     time.sleep(0.5)
     way.silence()
-    start_again(fleet, way)
+    restart_engine(fleet, way)
     before = len(fleet.engines[0].runs)
-    wait_for(lambda: len(fleet.engines[0].runs) > before, "samples go on", SOON_S)
+    wait_for(lambda: len(fleet.engines[0].runs) > before, "samples are resumed", RECOVERY_S)
     assert len(fleet.whole(fleet.gateways[0], "lot1")) == SAMPLES
 
 
-def test_where_only_its_report_tells_it(behind_ways):
+def test_a_restart_that_only_the_report_shows(behind_ways):
     fleet, way = behind_ways
     begin_lot(fleet)
-    start_again(fleet, way, told=False)
+    restart_engine(fleet, way, is_registered=False)
     sidecar = fleet.sidecars[0]
     wait_for(
-        lambda: [row for row in sidecar.lines("engine_start") if row["born"] == BORN + 1],
-        "the sidecar knows of the start",
-        SOON_S,
+        lambda: [row for row in sidecar.lines("engine_start") if row["born"] == START_TIME_MS + 1],
+        "the sidecar knows of the restart",
+        RECOVERY_S,
     )
     assert len(fleet.whole(fleet.gateways[0], "lot1")) == SAMPLES
 
 
-def test_an_older_start_that_writes_late_takes_nothing_back(behind_ways):
+def test_a_late_write_of_an_older_incarnation_is_ignored(behind_ways):
     fleet, way = behind_ways
     (engine,) = fleet.engines
-    start_again(fleet, way)
-    fleet.register(engine.instance, "engines", way.address, born=BORN, state="draining")
+    restart_engine(fleet, way)
+    fleet.register(engine.instance, "engines", way.address, born=START_TIME_MS, state="draining")
     time.sleep(1.0)
     assert fleet.hand_in(fleet.gateways[0], "lot1", samples=SAMPLES) == 202
     assert len(fleet.whole(fleet.gateways[0], "lot1")) == SAMPLES
 
 
-def test_entries_of_other_writers_change_nothing(behind_ways):
-    """Each of them once took the true engine's place at its address, or was given samples."""
+def test_invalid_entries_of_other_writers_change_nothing(behind_ways):
+    """Each of these entries once replaced the real engine at its address, or was sent samples."""
     fleet, way = behind_ways
     fleet.register("x-1", "engines", way.address, state="fine")
     fleet.register("x-2", "nobody", way.address)
@@ -121,8 +122,8 @@
     assert fleet.hand_in(fleet.gateways[0], "lot1", samples=SAMPLES) == 202
     assert len(fleet.whole(fleet.gateways[0], "lot1")) == SAMPLES
     for gateway in fleet.gateways:
-        told = [row["key"] for row in gateway.lines("endpoint_unreadable")]
-        assert sorted(told) == ["servers/x-1", "servers/x-3", "servers/x-4"]
+        unreadable = [row["key"] for row in gateway.lines("endpoint_unreadable")]
+        assert sorted(unreadable) == ["servers/x-1", "servers/x-3", "servers/x-4"]
         assert (
             'threadramp_events_total{kind="unreadable",label="endpoint"} 4.0' in gateway.metrics()
         )
