--- a/tests/serve/test_hosting.py
+++ b/tests/serve/test_hosting.py
@@ -1,9 +1,8 @@
-"""Engines without a sidecar are run by gateways, over real processes.
+"""Gateways host engines that have no sidecar, over real processes.
 
-Seen: on boxes where no process of ours stands beside the engines no sample ever ran, without a line
-in the logs. How it came about: who runs an engine's samples was built in by the place. Cause: a
-lot's gateway knew sidecars, not engines. Proof: without the mend no lot of these scenarios gets
-whole.
+Guards against samples that never run, without a line in the logs, if no sidecar runs beside the
+engines: the gateway of a lot knew sidecars only, not engines. Without the fix no lot of these tests
+completes.
 """
 
 from __future__ import annotations
@@ -18,21 +17,21 @@
 from threadramp.cli.main import build_application
 
 SAMPLES = 8
-COLLECTED_S = 1.2  # a lot's gateway has events of each sample, which it asks for each 0.5 s
-ON_S = 2.6  # silence for 1.6 s, a round of samples, and the start of a runner
+COLLECT_S = 1.2  # in which a lot's gateway, polling each 0.5 s, has events of each sample
+RESUME_S = 2.6  # 1.6 s without replies, a round of dispatching, and the start of a runner
 
 
 @pytest.fixture
-def bare(tmp_path, serve):
-    """A fleet whose sidecars are not started."""
+def fleet_without_sidecars(tmp_path, serve):
+    """Start a fleet without its sidecars; return it and the sidecars."""
     made = PlatformFleet(tmp_path, serve, gateways=3)
     made.boxes = list(made.gateways)
-    kept, made.sidecars = made.sidecars, []
+    sidecars, made.sidecars = made.sidecars, []
     try:
         made.start()
-        yield made, kept
+        yield made, sidecars
     finally:
-        made.boxes += kept
+        made.boxes += sidecars
         made.close()
 
 
@@ -44,41 +43,42 @@
     return [(order["holder"], order["fence"]) for order in engine.orders]
 
 
-def test_a_lot_is_run_where_no_engine_has_a_sidecar(bare):
-    fleet, _ = bare
+def test_a_lot_is_run_if_no_engine_has_a_sidecar(fleet_without_sidecars):
+    fleet, _ = fleet_without_sidecars
     assert fleet.hand_in(fleet.gateways[0], "lot1", samples=SAMPLES) == 202
     rows = fleet.whole(fleet.gateways[1], "lot1")
     assert len(rows) == SAMPLES
     assert all(row["text"].endswith("-5") and row["versions"] == [1] for row in rows)
-    wait_for(lambda: len(hosts(fleet)) >= 1, "someone tells that it hosts")
+    wait_for(lambda: len(hosts(fleet)) >= 1, "a gateway hosts an engine")
     assert fleet.gateways[0].lines("engine_taken_over")
 
 
-def test_a_version_is_loaded_there_by_one_holder(bare):
-    fleet, _ = bare
+def test_a_version_is_loaded_by_one_holder_per_engine_without_sidecar(fleet_without_sidecars):
+    fleet, _ = fleet_without_sidecars
     fleet.name_version(2)
     wait_for(lambda: all(engine.versions["m"] == 2 for engine in fleet.engines), "loaded", 20.0)
     for engine in fleet.engines:
         assert len(set(orders(engine))) == 1
 
 
-def test_samples_of_killed_sidecars_go_on_and_go_back(fleet):
+def test_samples_of_killed_sidecars_are_resumed_and_sidecars_take_over_again(fleet):
     first = fleet.gateways[0]
     for engine in fleet.engines:
         engine.faults.update(events=100, gap_s=0.04)
     assert fleet.hand_in(first, "lot1", samples=SAMPLES) == 202
-    wait_for(lambda: sum(len(e.runs) for e in fleet.engines) == SAMPLES, "all began")
-    time.sleep(COLLECTED_S)
+    wait_for(lambda: sum(len(e.runs) for e in fleet.engines) == SAMPLES, "all samples began")
+    time.sleep(COLLECT_S)
     before = [len(engine.runs) for engine in fleet.engines]
     for sidecar in fleet.sidecars:
         sidecar.kill()
     wait_for(
         lambda: all(len(e.runs) > n for e, n in zip(fleet.engines, before, strict=True)),
-        "samples go on at each engine",
-        ON_S,
+        "samples are resumed at each engine",
+        RESUME_S,
     )
     again = [run for e, n in zip(fleet.engines, before, strict=True) for run in e.runs[n:]]
-    assert all(run["after"] for run in again)  # behind what was made
+    # resumed after the events that were already generated
+    assert all(run["after"] for run in again)
     for sidecar in fleet.sidecars:
         sidecar.start()
     assert len(fleet.whole(first, "lot1")) == SAMPLES
@@ -87,48 +87,48 @@
     taken = first.lines("engine_taken_over")
     wait_for(
         lambda: [row for row in first.lines("engine_taken_over") if row["by"].startswith("side")],
-        f"the sidecars have their engines again: {taken}",
+        f"the sidecars have taken over their engines again: {taken}",
     )
 
 
-def test_the_right_to_order_goes_over_and_back_with_rising_numbers(bare):
-    """A sidecar comes in the midst of a load that a gateway ordered."""
-    fleet, sidecars = bare
+def test_the_engine_lock_is_taken_over_and_back_with_rising_fencing_tokens(fleet_without_sidecars):
+    """A sidecar starts during a load that a gateway ordered."""
+    fleet, sidecars = fleet_without_sidecars
     fleet.name_version(2)
     for engine in fleet.engines:
         engine.faults["load_s"] = 1.0
     wait_for(lambda: all(engine.orders for engine in fleet.engines), "ordered", 20.0)
     for sidecar in sidecars:
         sidecar.start()
-    wait_for(lambda: all(box.lines("engine_start") for box in sidecars), "sidecars are there")
+    wait_for(lambda: all(box.lines("engine_start") for box in sidecars), "sidecars have started")
     fleet.name_version(3)
     wait_for(lambda: all(engine.versions["m"] == 3 for engine in fleet.engines), "loaded", 25.0)
     for engine in fleet.engines:
-        numbers = [fence for _, fence in orders(engine)]
-        assert numbers == sorted(numbers)
+        tokens = [fence for _, fence in orders(engine)]
+        assert tokens == sorted(tokens)
         by_holder = dict(orders(engine))
         assert len(set(by_holder.values())) == len(by_holder)
 
 
-def test_an_operator_sees_what_each_process_believes_of_an_engine(fleet):
+def test_an_operator_sees_what_each_process_knows_of_an_engine(fleet):
     (address,) = {box.settings["app"] for box in fleet.sidecars[:1]}
-    places = [f"{box.ip}:{PORTS['peer']}" for box in (fleet.gateways[0], fleet.sidecars[0])]
-    asked = ApplicationTester(build_application())
+    addresses = [f"{box.ip}:{PORTS['peer']}" for box in (fleet.gateways[0], fleet.sidecars[0])]
+    application = ApplicationTester(build_application())
 
     def facts() -> list[dict]:
-        assert asked.execute(f"inspect endpoint {address} {' '.join(places)} --json") == 0
-        rows = [json.loads(line) for line in asked.io.fetch_output().splitlines()]
+        assert application.execute(f"inspect endpoint {address} {' '.join(addresses)} --json") == 0
+        rows = [json.loads(line) for line in application.io.fetch_output().splitlines()]
         return [{fact["what"]: fact for fact in row["facts"]} for row in rows]
 
-    def both_know_it() -> list[dict] | None:
+    def both_know_the_engine() -> list[dict] | None:
         found = facts()
-        told = found[1].get("engine", {"value": ""})["value"].startswith("i-e0")
-        return found if told else None
+        is_reported = found[1].get("engine", {"value": ""})["value"].startswith("i-e0")
+        return found if is_reported else None
 
-    gateway, sidecar = wait_for(both_know_it, "both know it")
+    gateway, sidecar = wait_for(both_know_the_engine, "both know the engine")
     assert gateway["id, birth"]["value"] == "i-e0, not told"
     assert gateway["id, birth"]["source"]
     assert gateway["id, birth"]["ago_s"] >= 0.0
     assert sidecar["report"]["value"] != "none"
-    assert asked.execute(f"inspect endpoint nobody {places[0]}") == 0
-    assert "names nobody here" in asked.io.fetch_output()
+    assert application.execute(f"inspect endpoint nobody {addresses[0]}") == 0
+    assert "names nobody here" in application.io.fetch_output()
--- a/tests/serve/test_one_holder.py
+++ b/tests/serve/test_one_holder.py
@@ -1,13 +1,13 @@
-"""One process at a time orders an engine, over real processes that stand still.
-
-Seen: an engine got an order of its sidecar with a lower number behind an order of a gateway with a
-higher one; an engine that looks at no number carries out both. How it came about: the sidecar was
-away for longer than a gateway waits before it orders in its place, and was asked by gateways again
-as soon as it was listed again; or its order lay in its box's kernel behind a cut. Cause: an order
-rested on a proof of any age, "a gateway asked a second ago, so nobody else can hold the right", and
-nothing bounded the time from there to the engine. Proof: with the store asked for each order, the
-answer good for a second, and unsent bytes dropped by the kernel, both scenarios pass; each failed
-every time before, in the record's own words (number 9 of the sidecar after 12 of the gateway).
+"""Only one process at a time sends orders to an engine, over real processes that are suspended.
+
+Guards against an order of a sidecar that arrives with a lower fencing token after an order of a
+gateway with a higher one (9 after 12); an engine that ignores fencing tokens carries out both. The
+sidecar was suspended for longer than a gateway waits before it takes over, and was polled by
+gateways again as soon as it was listed again; or its order was delayed in the kernel of its box by
+a network partition. An order relied on a verification of the lock of any age ("a gateway polled a
+second ago, so no other process can hold the lock"), and nothing bounded the time until the order
+reached the engine. Now the store verifies the lock for each order, a verification is valid for 1 s,
+and the kernel drops unsent bytes. Without these changes both tests failed every time.
 """
 
 from __future__ import annotations
@@ -22,10 +22,8 @@
 from tests.serve.way import Way, serve_behind
 from threadramp.platform.standins.endpoint import PlatformEngine
 
-STOOD_IN_S = (
-    25.0  # 3 s for the lease, 2 s without a sidecar, 5 s of waiting, and the rest of a load
-)
-LATE_S = 0.6  # what lay somewhere has arrived by then
+TAKEOVER_S = 25.0  # 3 s for the lease, 2 s without a sidecar, 5 s of waiting, rest: a load
+DELIVERY_S = 0.6  # in which delayed orders arrive
 LOAD_S = 0.2
 
 
@@ -36,7 +34,7 @@
 
 @pytest.fixture
 def fleet(tmp_path, serve, ways):
-    """Two gateways and one engine with its sidecar; what goes to the engine can be held up."""
+    """Start two gateways and one engine with its sidecar; orders to the engine can be delayed."""
     behind = serve_behind(serve, ways, lambda one: getattr(one, "instance", "") == "i-e0")
     made = PlatformFleet(tmp_path, behind, gateways=2, engines=1)
     made.engines[0].faults["load_s"] = LOAD_S
@@ -51,23 +49,23 @@
     return engine.versions["m"] >= version
 
 
-def test_a_sidecar_that_stood_still_does_not_order_by_what_it_knew_before(fleet):
+def test_a_sidecar_that_was_suspended_does_not_order_with_its_old_lock(fleet):
     engine, side = fleet.engines[0], fleet.sidecars[0]
     fleet.name_version(2)
     wait_for(lambda: has_loaded(engine, 2), "the sidecar ordered")
     side.process.send_signal(signal.SIGSTOP)
     fleet.name_version(3)
-    wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", STOOD_IN_S)
+    wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", TAKEOVER_S)
     side.process.send_signal(signal.SIGCONT)
     wait_for(lambda: "member/side-0" in fleet.keys("member/"), "it is listed again")
-    time.sleep(1.0)  # what lay at it meanwhile has been answered
+    time.sleep(1.0)  # it has handled the requests that arrived while it was suspended
     fleet.name_version(4)
-    wait_for(lambda: has_loaded(engine, 4), "whoever it is ordered", STOOD_IN_S)
-    time.sleep(LATE_S)
+    wait_for(lambda: has_loaded(engine, 4), "either process ordered", TAKEOVER_S)
+    time.sleep(DELIVERY_S)
     assert broken_by(engine.arrived) == []
 
 
-def test_an_order_that_lay_behind_a_cut_does_not_come_after_the_next_holders(fleet, ways):
+def test_an_order_delayed_by_a_partition_does_not_arrive_after_one_of_the_next_holder(fleet, ways):
     engine, side = fleet.engines[0], fleet.sidecars[0]
     fleet.name_version(2)
     wait_for(lambda: has_loaded(engine, 2), "the sidecar ordered")
@@ -76,7 +74,7 @@
     wait_for(lambda: ways[0].holds, "its next order is on its way")
     side.kill()
     fleet.remove("member/side-0")
-    wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", STOOD_IN_S)
+    wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", TAKEOVER_S)
     ways[0].go_on()
-    time.sleep(LATE_S)
+    time.sleep(DELIVERY_S)
     assert broken_by(engine.arrived) == []
