--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -74,7 +74,7 @@
 EXIT_MARGIN_S = 0.8  # before the platform kills the process
 STOP_POLL_S = 0.05
 IDLE_S = 0.5  # a stopping gateway accepts no more requests after this time without any
-FINAL_RESPONSES_S = 1.5  # for the requests read last; the users' routes time out after 1.1 s
+FINAL_RESPONSES_S = 1.5  # for the requests read last; users' workloads time routes out after 1.1 s
 LEAVE_TIMEOUT_S = 0.3  # enough: the member list also drops a process that fails to remove itself
 
 
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -38,7 +38,7 @@
 
 @ROLES.register("sidecar")
 class SidecarProcess(Process):
-    """Runs samples on the engine of its box."""
+    """Runs samples on the engine next to it."""
 
     def start(self) -> None:
         """Create all parts and start them."""
