--- a/tests/serve/test_lots.py
+++ b/tests/serve/test_lots.py
@@ -1,4 +1,4 @@
-"""Lots over real processes, with processes killed, the store away and answers lost."""
+"""Lots over real processes, with killed processes, an unreachable store and lost responses."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     assert fleet.results(second, "lot1")["results"] == results
     assert fleet.results(second, "lot1", after=4)["results"] == results[4:]
     assert 'threadramp_events_total{kind="listed",label="succeeded"} 6.0' in first.metrics()
-    figures = [sidecar.metrics() for sidecar in fleet.sidecars]
-    assert any('kind="sample_ended",label="whole"' in text for text in figures)
+    metrics = [sidecar.metrics() for sidecar in fleet.sidecars]
+    assert any('kind="sample_ended",label="whole"' in text for text in metrics)
 
 
-def test_a_lot_that_comes_again_is_taken_once(fleet):
+def test_a_lot_that_is_submitted_again_is_accepted_once(fleet):
     first, second = fleet.gateways
     assert fleet.hand_in(first, "lot1") == 202
     assert fleet.hand_in(second, "lot1") == 202
@@ -37,13 +37,13 @@
     assert len(fleet.whole(second, "lot1")) == 6
 
 
-def test_a_lost_answer_of_the_store_loses_no_lot(fleet):
+def test_a_lost_response_of_the_store_loses_no_lot(fleet):
     fleet.store.faults["lose_answers"] = 3
     assert fleet.hand_in(fleet.gateways[0], "lot1") == 202
     assert len(fleet.whole(fleet.gateways[0], "lot1")) == 6
 
 
-def test_a_killed_gateways_lot_goes_on_elsewhere_with_the_same_positions(fleet):
+def test_the_lot_of_a_killed_gateway_continues_elsewhere_with_the_same_positions(fleet):
     first, second = fleet.gateways
     for engine in fleet.engines:
         engine.faults.update(events=30, gap_s=0.05)
@@ -56,19 +56,20 @@
     assert len({row["id"] for row in results}) == 16
 
 
-def test_a_killed_sidecars_samples_go_on_behind_their_events(fleet):
+def test_samples_of_a_killed_sidecar_are_resumed_after_their_events(fleet):
     first = fleet.gateways[0]
     for engine in fleet.engines:
         engine.faults.update(events=40, gap_s=0.05)
     assert fleet.hand_in(first, "lot1") == 202
     wait_for(lambda: any(engine.runs for engine in fleet.engines), "samples at an engine")
     time.sleep(1.0)
-    number = 0 if fleet.engines[0].runs else 1  # either may be ready first and take them all
+    # either sidecar may be ready first and get all samples
+    number = 0 if fleet.engines[0].runs else 1
     fleet.sidecars[number].kill()
     results = fleet.whole(first, "lot1")
     assert all(row["text"].count("\n") == 39 for row in results)
     resumed = [run for run in fleet.engines[1 - number].runs if run["after"]]
-    assert resumed, "every sample began anew"
+    assert resumed, "no sample was resumed"
 
 
 def test_all_processes_killed_lose_nothing_that_was_acknowledged(fleet):
@@ -87,32 +88,32 @@
     assert len(results) == 12
 
 
-def test_an_outage_of_the_store_is_told_at_once_and_survived(fleet):
+def test_an_outage_of_the_store_is_reported_at_once_and_survived(fleet):
     first = fleet.gateways[0]
     fleet.hand_in(first, "lot1")
     results = fleet.whole(first, "lot1")
     fleet.store.faults["outage"] = True
     started = time.monotonic()
     body = fleet.lot("lot2")
-    answer = first.call("POST", "/lots/lot2", body=body, X_Attempt_Id="lot2")
-    assert answer.status in (503, 504)
-    assert answer.status == 504 or float(answer.headers["Retry-After"]) > 0
+    response = first.call("POST", "/lots/lot2", body=body, X_Attempt_Id="lot2")
+    assert response.status in (503, 504)
+    assert response.status == 504 or float(response.headers["Retry-After"]) > 0
     assert time.monotonic() - started < 4.0
     assert fleet.results(first, "lot1")["results"] == results
     assert first.call("GET", "/threadramp/lots/never").status == 503
     fleet.store.faults["outage"] = False
-    wait_for(lambda: fleet.hand_in(first, "lot3") == 202, "taken again")
+    wait_for(lambda: fleet.hand_in(first, "lot3") == 202, "lots are accepted again")
     assert len(fleet.whole(first, "lot3")) == 6
 
 
-def test_a_lot_handed_in_during_a_short_outage_is_taken_after_it(fleet):
+def test_a_lot_submitted_during_a_short_outage_is_accepted_after_it(fleet):
     first = fleet.gateways[0]
     fleet.store.faults["outage"] = True
     threading.Timer(2.5, fleet.store.faults.update, ({"outage": False},)).start()
-    answer = first.call(
+    response = first.call(
         "POST", "/lots/lot1", body=fleet.lot("lot1"), X_Attempt_Id="lot1", X_Deadline_Ms="12000"
     )
-    assert answer.status == 202
+    assert response.status == 202
     assert len(fleet.whole(first, "lot1")) == 6
 
 
@@ -131,7 +132,7 @@
     assert fleet.results(first, "lot1")["total"] == 30
 
 
-def test_an_end_while_the_lots_gateway_is_frozen_reaches_it_when_it_wakes(fleet):
+def test_an_end_while_the_lots_gateway_is_suspended_reaches_it_when_it_resumes(fleet):
     first, second = fleet.gateways
     for engine in fleet.engines:
         engine.faults.update(events=400, gap_s=0.05)
@@ -152,10 +153,10 @@
 def test_an_end_at_a_gateway_that_does_not_list_the_lots_gateway_stops_its_samples(fleet):
     first, second = fleet.gateways
     fleet.engines[0].faults.update(events=400, gap_s=0.05)
-    fleet.engines[1].faults["reject"] = 1_000_000  # its sidecar has samples that did not begin
+    fleet.engines[1].faults["reject"] = 1_000_000  # its sidecar keeps samples that have not begun
     assert fleet.hand_in(first, "lot1", samples=30) == 202
     wait_for(lambda: len(fleet.engines[0].runs) >= 6, "samples began")
-    wait_for(lambda: fleet.engines[1].faults["reject"] < 1_000_000, "samples are tried")
+    wait_for(lambda: fleet.engines[1].faults["reject"] < 1_000_000, "samples are attempted")
     wait_for(lambda: fleet.results(second, "lot1") is not None, "second knows the lot")
     wait_for(
         lambda: any(row["member"] == "front-0" for row in second.lines("member")),
@@ -164,23 +165,23 @@
     fleet.remove("member/front-0")
     wait_for(
         lambda: any(row["member"] == "front-0" for row in second.lines("member_removed")),
-        "second lists the first no more",
+        "second no longer lists the first",
     )
     assert second.call("DELETE", "/threadramp/lots/lot1").status == 200
-    time.sleep(3.0)  # samples may begin for so long after an end
+    time.sleep(3.0)  # after an end samples may still begin for this time
     fleet.engines[1].faults["reject"] = 0
     time.sleep(1.5)
     assert fleet.engines[1].runs == []
 
 
-def test_the_body_of_a_sample_is_told_at_every_gateway(fleet):
+def test_the_body_of_a_sample_can_be_read_at_every_gateway(fleet):
     first, second = fleet.gateways
     for engine in fleet.engines:
         engine.faults.update(events=200, gap_s=0.05)
     fleet.hand_in(first, "lot1")
     for gateway in (first, second):
-        answer = gateway.call("GET", "/threadramp/items/lot1?id=lot1-s3")
-        assert (answer.status, answer.data) == (200, b"prompt 3")
+        response = gateway.call("GET", "/threadramp/items/lot1?id=lot1-s3")
+        assert (response.status, response.data) == (200, b"prompt 3")
         assert gateway.call("GET", "/threadramp/items/lot1?id=other").status == 404
 
 
@@ -202,7 +203,7 @@
     assert {row["state"] for row in results} == {"dead"}
 
 
-def test_broken_off_streams_are_gone_on_with(fleet):
+def test_interrupted_streams_are_resumed(fleet):
     for engine in fleet.engines:
         engine.faults["cut"] = 5
     fleet.hand_in(fleet.gateways[0], "lot1")
@@ -210,7 +211,7 @@
         assert row["text"] == "\n".join(f"{row['id']}-{n}" for n in range(1, 6))
 
 
-def test_a_named_version_is_loaded_once_and_labels_what_it_makes(fleet):
+def test_a_published_version_is_loaded_once_and_labels_its_results(fleet):
     fleet.name_version(2)
     wait_for(lambda: all(one.versions["m"] == 2 for one in fleet.engines), "version 2 loaded")
     assert [len(engine.orders) for engine in fleet.engines] == [1, 1]
@@ -221,22 +222,22 @@
 @pytest.mark.parametrize(
     "body", [b"", b"no lot", b"[]", b'{"requests":[]}', b'{"requests":[{"id":"x"}]}']
 )
-def test_what_is_no_lot_is_refused_and_nothing_runs(fleet, body):
-    answer = fleet.gateways[0].call("POST", "/lots/x", body=body, X_Attempt_Id="x")
-    assert answer.status == 400
-    assert answer.data
+def test_an_invalid_lot_is_refused_and_nothing_runs(fleet, body):
+    response = fleet.gateways[0].call("POST", "/lots/x", body=body, X_Attempt_Id="x")
+    assert response.status == 400
+    assert response.data
     assert fleet.gateways[0].ready() == 200
     assert fleet.keys("lot/") == []
 
 
-def test_long_samples_go_on_behind_their_kept_text_after_a_loss_of_everything(fleet):
+def test_long_samples_resume_after_their_stored_text_if_all_processes_are_killed(fleet):
     first = fleet.gateways[0]
     for engine in fleet.engines:
         engine.faults.update(events=80, gap_s=0.05)
     assert fleet.hand_in(first, "lot1", samples=2) == 202
     wait_for(
         lambda: any(row["samples"] == 2 for row in first.lines("texts_saved")),
-        "the text of both samples kept",
+        "the text of both samples is stored",
     )
     for box in fleet.boxes:
         box.kill()
@@ -245,6 +246,7 @@
     for row in fleet.whole(first, "lot1"):
         assert row["text"] == "\n".join(f"{row['id']}-{n}" for n in range(1, 81))
     runs = [run for engine in fleet.engines for run in engine.runs if "-s" in run["id"]]
-    begun_anew = [run["id"] for run in runs if run["after"] == 0]
-    assert sorted(begun_anew) == ["lot1-s0", "lot1-s1"]  # once each, before the loss
+    started_from_scratch = [run["id"] for run in runs if run["after"] == 0]
+    # once each, before the processes were killed
+    assert sorted(started_from_scratch) == ["lot1-s0", "lot1-s1"]
     assert all(run["after"] >= 25 for run in runs if run["after"])
