--- a/tests/serve/test_callers.py
+++ b/tests/serve/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests, configuration, leaving and stopping over real processes."""
+"""Requests of callers, changes of configuration, draining and planned stops over real processes."""
 
 from __future__ import annotations
 
@@ -13,98 +13,103 @@
 from tests.serve.fleet import CALLS, PORTS, wait_for
 
 
-def ask(gateway, target="/x", name="r1", **more):
+def send_request(gateway, target="/x", name="r1", **more):
     return gateway.call("POST", target, host=CALLS, body=b"q", X_Attempt_Id=name, **more)
 
 
 def test_a_request_is_answered_by_its_endpoint(fleet):
-    answer = ask(fleet.gateways[0], "/a/b?c=d%20e")
-    assert (answer.status, answer.data) == (200, b"i-c0 answers r1")
-    assert answer.headers["X-Server-Stamp"] == "sig-r1"
+    response = send_request(fleet.gateways[0], "/a/b?c=d%20e")
+    assert (response.status, response.data) == (200, b"i-c0 answers r1")
+    assert response.headers["X-Server-Stamp"] == "sig-r1"
     assert fleet.callee.runs[-1]["id"] == "r1"
 
 
-def test_a_request_without_a_route_is_told_so(fleet):
+def test_a_request_without_a_route_gets_404(fleet):
     assert fleet.gateways[0].call("GET", "/", host="unknown.example").status == 404
 
 
-def test_a_process_that_knows_no_configuration_says_so(fleet, tmp_path):
+def test_a_process_that_knows_no_configuration_responds_503(fleet, tmp_path):
     fleet.store.faults["outage"] = True
     late = fleet._box(tmp_path, "gateway", "front-late")
     late.start()
-    wait_for(lambda: late.ready() == 503, "it answers")
-    answer = ask(late)
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) > 0
+    wait_for(lambda: late.ready() == 503, "it responds 503")
+    response = send_request(late)
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) > 0
     fleet.store.faults["outage"] = False
     wait_for(lambda: late.ready() == 200, "ready")
-    assert ask(late).status == 200
+    assert send_request(late).status == 200
 
 
-def test_a_change_of_the_configuration_is_in_force_at_once(fleet):
+def test_a_changed_configuration_is_in_force_at_once(fleet):
     fleet.configure(version=4, pathPrefix="/new/")
     for gateway in fleet.gateways:
-        wait_for(lambda box=gateway: ask(box, "/x").status == 404, "old route gone", 2.0)
-        assert ask(gateway, "/new/x").status == 200
+        wait_for(
+            lambda box=gateway: send_request(box, "/x").status == 404,
+            "the old route is removed",
+            2.0,
+        )
+        assert send_request(gateway, "/new/x").status == 200
 
 
-def test_the_routes_time_is_kept(fleet):
+def test_the_timeout_of_the_route_limits_the_request(fleet):
     fleet.configure(version=4, timeoutMs=300)
     fleet.callee.faults["hold_s"] = 3.0
     time.sleep(0.5)
     started = time.monotonic()
-    assert ask(fleet.gateways[0], X_Deadline_Ms="5000").status == 504
+    assert send_request(fleet.gateways[0], X_Deadline_Ms="5000").status == 504
     assert time.monotonic() - started < 0.7
 
 
-def test_full_endpoints_are_told_at_once(fleet):
+def test_full_endpoints_are_reported_at_once(fleet):
     fleet.callee.faults["reject"] = 1000
     started = time.monotonic()
-    answer = ask(fleet.gateways[0])
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) > 0
+    response = send_request(fleet.gateways[0])
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) > 0
     assert time.monotonic() - started < 1.0
 
 
-def test_a_leaving_endpoint_gets_nothing_new(fleet):
+def test_a_draining_endpoint_gets_no_new_requests(fleet):
     fleet.register("i-c0", "calls", "127.0.0.1:1", state="draining")
-    wait_for(lambda: ask(fleet.gateways[0]).status == 503, "nowhere to go", 2.0)
+    wait_for(lambda: send_request(fleet.gateways[0]).status == 503, "no endpoint is left", 2.0)
     runs = len(fleet.callee.runs)
-    ask(fleet.gateways[1])
+    send_request(fleet.gateways[1])
     assert len(fleet.callee.runs) <= runs + 1
 
 
 def test_a_body_over_the_limit_is_refused(fleet):
     gateway = fleet.gateways[0]
-    answer = gateway.call("POST", "/x", host=CALLS, body=b"x" * 2_000_001, X_Attempt_Id="big")
-    assert answer.status == 413
+    response = gateway.call("POST", "/x", host=CALLS, body=b"x" * 2_000_001, X_Attempt_Id="big")
+    assert response.status == 413
     assert gateway.ready() == 200
 
 
-def test_the_limits_of_the_configuration_hold_once_it_changes(fleet):
+def test_changed_limits_of_the_configuration_apply(fleet):
     gateway = fleet.gateways[0]
     padding = "x" * 3_000
-    assert ask(gateway, X_Padding=padding).status == 200
+    assert send_request(gateway, X_Padding=padding).status == 200
     fleet.configure(version=4, limits={"maxHeaderBytes": 2_000})
-    wait_for(lambda: ask(gateway, X_Padding=padding).status == 431, "refused", 2.0)
-    assert ask(gateway).status == 200
+    wait_for(lambda: send_request(gateway, X_Padding=padding).status == 431, "refused", 2.0)
+    assert send_request(gateway).status == 200
     changes = wait_for(
         lambda: [row for row in gateway.lines("caller_limits") if row["version"] == 4], "logged"
     )
     assert changes[0]["header_bytes"] == 2_000
 
 
-def test_a_planned_stop_finishes_what_is_open(fleet):
+def test_a_planned_stop_finishes_open_requests(fleet):
     first = fleet.gateways[0]
     fleet.callee.faults["hold_s"] = 1.0
     answers = []
-    thread = threading.Thread(target=lambda: answers.append(ask(first).status))
+    thread = threading.Thread(target=lambda: answers.append(send_request(first).status))
     thread.start()
     time.sleep(0.3)
     first.process.send_signal(signal.SIGTERM)
     time.sleep(0.2)
     assert first.ready() == 503
-    assert ask(first, name="r2").status == 200  # the balancer still sends some
+    # the balancer still sends requests for a while
+    assert send_request(first, name="r2").status == 200
     thread.join()
     assert answers == [200]
     first.process.wait(8.0)
@@ -113,23 +118,23 @@
 
 
 def test_a_planned_stop_runs_no_request_that_it_does_not_answer(fleet):
-    """Callers that the balancer sends to the last moment are answered, or not read at all."""
+    """Requests that arrive until the last moment are answered, or not read at all."""
     first = fleet.gateways[0]
     fleet.callee.faults["hold_s"] = 0.05
     unanswered: set[str] = set()
     stopped = threading.Event()
 
-    def keep_asking(caller: int) -> None:
+    def keep_sending(caller: int) -> None:
         for number in itertools.count():
             name = f"c{caller}-{number}"
             try:
-                ask(first, name=name)
+                send_request(first, name=name)
             except HTTPError:
                 unanswered.add(name)
             if stopped.is_set():
                 return
 
-    threads = [threading.Thread(target=keep_asking, args=(n,)) for n in range(6)]
+    threads = [threading.Thread(target=keep_sending, args=(n,)) for n in range(6)]
     for thread in threads:
         thread.start()
     time.sleep(0.3)
@@ -138,7 +143,7 @@
     stopped.set()
     for thread in threads:
         thread.join()
-    assert unanswered  # they asked until it was gone
+    assert unanswered  # callers kept sending until the process had exited
     assert not unanswered & {run["id"] for run in fleet.callee.runs}
 
 
@@ -152,25 +157,25 @@
     assert [row["lot"] for row in second.lines("lot_adopted")] == ["lot1"]
 
 
-def test_changed_settings_are_read_again_and_bad_ones_refused(fleet):
+def test_changed_settings_are_read_again_and_invalid_ones_refused(fleet):
     first = fleet.gateways[0]
     first.settings["bounds"]["graceS"] = 9
     first.write()
-    wait_for(lambda: first.lines("reload"), "read without a signal", 5.0)
+    wait_for(lambda: first.lines("reload"), "the file is read without a signal", 5.0)
     first.settings["node"] = None
     first.write()
     first.process.send_signal(signal.SIGHUP)
-    wait_for(lambda: first.lines("settings_refused"), "refused", 5.0)
-    assert ask(first).status == 200
+    wait_for(lambda: first.lines("settings_refused"), "the settings are refused", 5.0)
+    assert send_request(first).status == 200
 
 
-def test_the_operators_wish_to_empty_a_box_is_answered(fleet):
+def test_the_operators_retire_request_is_answered(fleet):
     fleet.put("op/retire/store-a-1", {"durationS": 8})
     wait_for(lambda: fleet.keys("status/retire/"), "answered", 5.0)
     assert fleet.value("status/retire/store-a-1") == b'{"state":"succeeded"}'
 
 
-def test_a_revoked_member_lists_itself_again(fleet):
+def test_a_member_whose_lease_was_revoked_lists_itself_again(fleet):
     fleet.store.faults["revoke"] = True
     with fleet.store.lock:
         fleet.store.faults_changed()
@@ -178,15 +183,15 @@
     wait_for(lambda: len(fleet.keys("member/")) == 4, "listed again", 10.0)
 
 
-def test_figures_are_told_at_the_metrics_address(fleet):
-    ask(fleet.gateways[0])
+def test_metrics_are_served_at_the_metrics_address(fleet):
+    send_request(fleet.gateways[0])
     text = fleet.gateways[0].metrics()
     assert 'threadramp_events_total{kind="answer",label="answered"}' in text
     assert "threadramp_latency_seconds" in text
-    assert PORTS["metrics"] == 9464  # as the deploy file says
+    assert PORTS["metrics"] == 9464  # as in the deploy file
 
 
-def test_a_process_without_good_settings_ends_with_findings(fleet, tmp_path):
+def test_a_process_with_invalid_settings_exits_with_findings(fleet, tmp_path):
     bad = fleet._box(tmp_path, "gateway", "front-bad")
     bad.settings["provider"] = {}
     bad.write()
@@ -196,11 +201,9 @@
     assert "provider.address" in line["findings"][0]
 
 
-def test_a_streaming_route_is_passed_on_event_by_event(fleet):
+def test_a_streaming_route_is_forwarded_event_by_event(fleet):
     route = {"kind": "streaming", "resumable": True, "backend": "engines", "timeoutMs": 8000}
-    fleet.configure(
-        version=4, **route
-    )  # its events take 1.2 s on a box that has nothing else to do
+    fleet.configure(version=4, **route)  # its events take 1.2 s on an idle box
     for engine in fleet.engines:
         engine.faults.update(events=6, gap_s=0.2, cut=1)
     gateway = fleet.gateways[0]
@@ -216,4 +219,4 @@
     rest = b"".join(f"id: {n}\ndata: s1-{n}\n\n".encode() for n in range(2, 7))
     assert response.read() == rest
     connection.close()
-    assert wait_for(lambda: gateway.lines("stream_resumed"), "it broke and went on")
+    assert wait_for(lambda: gateway.lines("stream_resumed"), "the stream broke and was resumed")
--- a/tests/serve/test_crashes.py
+++ b/tests/serve/test_crashes.py
@@ -1,12 +1,11 @@
-"""Requests under which endpoints crash, over real processes.
-
-Seen: a request that crashed each endpoint which began it came again, with the same path, caller and
-body at any gateway; 13 and 16 endpoints ended under one request, and its pool was down for all
-callers each time. How it came about: each id was tried at as many endpoints as its route allows,
-whatever had come of the ids before. Cause: what was remembered of a crash was kept by the
-endpoint's start and went with it, and the end of an endpoint was taken for a connection that was
-cut. Proof: without the mend 16 of 16 late requests of the first scenario are sent on, and 35
-engines end under one sample in 8 s.
+"""Requests that crash endpoints, over real processes.
+
+Guards against a request that crashes every endpoint which runs it and is repeated with new ids but
+the same path, caller and body at any gateway: 13 and 16 endpoints crashed under one request, and
+its pool was down for all callers each time. Each id was attempted at as many endpoints as its route
+allows, because crashes were recorded by the incarnation of the endpoint and forgotten with it, and
+because the crash of an endpoint was taken for a broken connection. Without the fix, 16 of 16 late
+requests of the first test are forwarded, and one sample crashes 35 engines in 8 s.
 """
 
 from __future__ import annotations
@@ -23,88 +22,93 @@
 from threadramp.cli.main import build_application
 
 ENDPOINTS = 4
-KNOWN_S = 1.0  # after the third crash all gateways know; the users allow 3 s
-MORE_MOST = 3  # requests that may be sent on after that, by all gateways together
-UNDER_ONE = 3  # endpoints that may end before a request is known
-CONFIRMED_S = 1.5  # the store has what was seen by then
+MAX_PROPAGATION_S = 1.0  # from the third crash until all gateways know; the users allow 3 s
+MAX_FORWARDED = 3  # requests that all gateways together may forward after that
+MAX_CRASHES = 3  # endpoints that may crash before a request is known to be the cause
+STORED_S = 1.5  # in which recorded crashes are written to the store
 _ids = itertools.count(1)
 
 
-def ask(gateway, target: str, caller: str = "", **more):
+def send_request(gateway, target: str, caller: str = "", **more):
     headers = {"Authorization": caller} if caller else {}
     name = f"id-{next(_ids)}"
     return gateway.call("POST", target, host=CALLS, body=b"b", X_Attempt_Id=name, **headers, **more)
 
 
 @pytest.fixture
-def crowd(tmp_path, serve):
-    """Three gateways and a pool of endpoints that crash."""
+def crashing_fleet(tmp_path, serve):
+    """Start three gateways and a pool of endpoints that can be crashed."""
     fleet = PlatformFleet(tmp_path, serve, gateways=3, engines=0)
     fleet.remove("servers/i-c0")
     pool = CrashingPool(fleet, "calls", "c", ENDPOINTS)
     try:
         fleet.start()
         for gateway in fleet.gateways:
-            wait_for(lambda box=gateway: ask(box, "/calm").status == 200, "calm requests served")
+            wait_for(
+                lambda box=gateway: send_request(box, "/calm").status == 200,
+                "harmless requests are served",
+            )
         yield fleet, pool
     finally:
         fleet.close()
         pool.close()
 
 
-def third_crash(fleet, pool, target: str = "/crashes") -> float:
-    """Send a request to one gateway after the other until three endpoints ended; return when."""
+def crash_three_endpoints(fleet, pool, target: str = "/crashes") -> float:
+    """Send a request to the gateways in turn until three endpoints crashed; return when."""
     gateways = itertools.cycle(fleet.gateways)
 
-    def three_ended():
-        ask(next(gateways), target)
-        return len(pool.crashes) >= UNDER_ONE
+    def three_crashed():
+        send_request(next(gateways), target)
+        return len(pool.crashes) >= MAX_CRASHES
 
-    wait_for(three_ended, "three endpoints ended", 10.0)
-    return pool.crashes[UNDER_ONE - 1]
+    wait_for(three_crashed, "three endpoints crashed", 10.0)
+    return pool.crashes[MAX_CRASHES - 1]
 
 
-def test_a_request_that_crashes_endpoints_is_not_sent_on_for_ever(crowd):
-    fleet, pool = crowd
-    third = third_crash(fleet, pool)
-    sent = 0
+def test_a_request_that_crashes_endpoints_is_not_forwarded_forever(crashing_fleet):
+    fleet, pool = crashing_fleet
+    third = crash_three_endpoints(fleet, pool)
+    forwarded = 0
     for gateway in itertools.islice(itertools.cycle(fleet.gateways), 18):
-        time.sleep(0.25)  # endpoints are back after 0.6 s
-        late = time.monotonic() > third + KNOWN_S
+        time.sleep(0.25)  # endpoints restart within 0.6 s
+        late = time.monotonic() > third + MAX_PROPAGATION_S
         before = len(pool.crashes)
-        answer = ask(gateway, "/crashes")
-        sent += late and len(pool.crashes) > before
+        answer = send_request(gateway, "/crashes")
+        forwarded += late and len(pool.crashes) > before
         assert answer.status in (502, 503)
-    assert sent <= MORE_MOST
-    wait_for(lambda: ask(fleet.gateways[0], "/calm").status == 200, "others are served")
+    assert forwarded <= MAX_FORWARDED
+    wait_for(
+        lambda: send_request(fleet.gateways[0], "/calm").status == 200, "other requests are served"
+    )
 
 
-def test_it_is_not_sent_on_by_a_gateway_that_started_later(crowd, tmp_path):
-    fleet, pool = crowd
-    third_crash(fleet, pool)
-    time.sleep(CONFIRMED_S)
+def test_it_is_not_forwarded_by_a_gateway_that_started_later(crashing_fleet, tmp_path):
+    fleet, pool = crashing_fleet
+    crash_three_endpoints(fleet, pool)
+    time.sleep(STORED_S)
     late = fleet._box(tmp_path, "gateway", "front-late")
     late.start()
     wait_for(lambda: late.ready() == 200, "ready")
     for box in fleet.gateways:
         box.kill()
-    wait_for(lambda: ask(late, "/calm").status == 200, "others are served")
-    sent = 0
-    for _ in range(20):  # 6 s, in which endpoints are back after 0.6 s
+    wait_for(lambda: send_request(late, "/calm").status == 200, "other requests are served")
+    forwarded = 0
+    for _ in range(20):  # 6 s in all; endpoints restart within 0.6 s
         begun = pool.begun("/crashes")
-        answer = ask(late, "/crashes")
-        sent_now = pool.begun("/crashes") - begun
-        assert (answer.status, sent_now) in ((503, 0), (502, 1))
+        answer = send_request(late, "/crashes")
+        forwarded_now = pool.begun("/crashes") - begun
+        assert (answer.status, forwarded_now) in ((503, 0), (502, 1))
         if answer.status == 503:
             assert float(answer.headers["Retry-After"]) > 0
-        sent += sent_now
+        forwarded += forwarded_now
         time.sleep(0.3)
-    assert sent <= MORE_MOST
+    assert forwarded <= MAX_FORWARDED
 
 
-def test_others_are_served_beside_it(crowd):
-    """Two callers ask on while one request comes again and again; most are answered."""
-    fleet, pool = crowd
+def test_other_requests_are_served_meanwhile(crashing_fleet):
+    """Two callers keep sending while a crashing request is repeated; at least 85 % are served."""
+    fleet, pool = crashing_fleet
     until = time.monotonic() + 8.0
     statuses: list[int] = []
 
@@ -112,49 +116,49 @@
         for number in itertools.count():
             if time.monotonic() > until:
                 return
-            statuses.append(ask(gateway, f"/calm/{number}").status)
+            statuses.append(send_request(gateway, f"/calm/{number}").status)
             time.sleep(0.05)
 
     threads = [threading.Thread(target=caller, args=(box,)) for box in fleet.gateways[:2]]
     for thread in threads:
         thread.start()
     while time.monotonic() < until:
-        ask(fleet.gateways[2], "/crashes")
+        send_request(fleet.gateways[2], "/crashes")
         time.sleep(0.4)
     for thread in threads:
         thread.join()
     assert statuses.count(200) >= 0.85 * len(statuses)
 
 
-def test_a_popular_request_that_stands_in_crashes_by_chance_is_served_on(crowd):
-    """One request of many callers is open wherever an endpoint crashes; it is not to blame."""
-    fleet, pool = crowd
+def test_a_popular_request_that_is_open_during_crashes_by_chance_stays_served(crashing_fleet):
+    """A request of many callers is open at every endpoint that crashes, but isn't the cause."""
+    fleet, pool = crashing_fleet
     stop = threading.Event()
 
     def caller(gateway) -> None:
         while not stop.is_set():
-            ask(gateway, "/popular")
+            send_request(gateway, "/popular")
 
     threads = [threading.Thread(target=caller, args=(box,)) for box in fleet.gateways * 2]
     for thread in threads:
         thread.start()
-    for number in range(5):  # another request each time, so that each ends endpoints
-        ask(fleet.gateways[number % 3], f"/crashes/{number}")
+    for number in range(5):  # a different request each time, so that none is refused before
+        send_request(fleet.gateways[number % 3], f"/crashes/{number}")
         time.sleep(0.8)
     stop.set()
     for thread in threads:
         thread.join()
     wait_for(
-        lambda: [ask(box, "/popular").status for box in fleet.gateways] == [200] * 3,
-        "it is served everywhere",
+        lambda: [send_request(box, "/popular").status for box in fleet.gateways] == [200] * 3,
+        "it is served by all gateways",
         3.0,
     )
 
 
-def test_an_operator_sees_what_is_held_back_and_lets_it_go_on(crowd):
-    fleet, pool = crowd
-    third_crash(fleet, pool)
-    line = wait_for(lambda: fleet.gateways[0].lines("endpoint_ended"), "it is told")[-1]
+def test_an_operator_sees_a_refused_request_and_clears_it(crashing_fleet):
+    fleet, pool = crashing_fleet
+    crash_three_endpoints(fleet, pool)
+    line = wait_for(lambda: fleet.gateways[0].lines("endpoint_ended"), "the crash is logged")[-1]
     addresses = " ".join(f"{box.ip}:{PORTS['peer']}" for box in fleet.gateways)
     command = ApplicationTester(build_application())
 
@@ -162,31 +166,33 @@
         assert command.execute(f"inspect request {line['fingerprint']} {addresses}") == 0
         return command.io.fetch_output().count("refused") == 3
 
-    wait_for(refused_by_all, "all refuse it", KNOWN_S)
+    wait_for(refused_by_all, "all gateways refuse it", MAX_PROPAGATION_S)
     for one in pool.endpoints:
         one.mended = True
     assert command.execute(f"acquit {line['fingerprint']} {addresses}") == 0
-    wait_for(lambda: ask(fleet.gateways[2], "/crashes").status == 200, "it is served", 3.0)
+    wait_for(lambda: send_request(fleet.gateways[2], "/crashes").status == 200, "it is served", 3.0)
 
 
-def test_another_callers_request_is_not_refused_for_it(crowd):
-    fleet, pool = crowd
-    third_crash(fleet, pool)
-    time.sleep(CONFIRMED_S)
+def test_the_same_request_of_another_caller_is_not_refused(crashing_fleet):
+    fleet, pool = crashing_fleet
+    crash_three_endpoints(fleet, pool)
+    time.sleep(STORED_S)
     begun = pool.begun("/crashes")
-    wait_for(lambda: ask(fleet.gateways[0], "/calm").status == 200, "endpoints are back")
-    ask(fleet.gateways[0], "/crashes", caller="Bearer another")
+    wait_for(
+        lambda: send_request(fleet.gateways[0], "/calm").status == 200, "endpoints have restarted"
+    )
+    send_request(fleet.gateways[0], "/crashes", caller="Bearer another")
     assert pool.begun("/crashes") > begun
 
 
 @pytest.fixture
 def engines(tmp_path, serve):
-    """Two gateways and engines that crash, each with its sidecar."""
+    """Start two gateways and engines that can be crashed, each with its sidecar."""
     with crashing_engines(tmp_path, serve, ENDPOINTS) as made:
         yield made
 
 
-def test_a_sample_that_crashes_each_engine_is_held_and_the_others_get_whole(engines):
+def test_a_sample_that_crashes_each_engine_is_refused_and_the_others_complete(engines):
     fleet, pool = engines
     run_crashing_sample(fleet, pool, 8.0)
-    assert len(pool.crashes) <= UNDER_ONE + MORE_MOST
+    assert len(pool.crashes) <= MAX_CRASHES + MAX_FORWARDED
