--- a/tests/serve/test_clocks.py
+++ b/tests/serve/test_clocks.py
@@ -1,4 +1,4 @@
-"""Usage under boxes whose time of day is off or jumps, held against what endpoints began."""
+"""Usage reports of boxes whose wall clock is off or jumps, compared to what endpoints ran."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 
 LAUNCHER = Path(__file__).parent / "shifted.py"
 NAMES = [f"front-{number}" for number in range(3)]
-HOLDER, HEIR, COUNTS_ONLY = succession_order(NAMES)
-JUMP_LASTS_S = 3.0
-IN_FORCE_S = 3.0  # the platform's bound for a change of the configuration
+HOLDER, SUCCESSOR, COUNTS_ONLY = succession_order(NAMES)
+JUMP_DURATION_S = 3.0
+MAX_CONFIGURATION_DELAY_S = 3.0  # the platform's bound
 
 
 class ShiftedFleet(PlatformFleet):
-    """A fleet whose gateways have a time of day that can be set off.
+    """A fleet whose gateways have wall clocks that can be shifted.
 
-    :param ahead: seconds by which it is ahead at the start, by box
+    :param ahead: seconds by which the wall clock is ahead at the start, by box
     """
 
     def __init__(self, folder: Path, serve, ahead: dict[str, float]) -> None:
@@ -52,7 +52,7 @@
             box.command = [str(LAUNCHER), str(self._file(box.name))]
 
     def shift(self, name: str, seconds: float) -> None:
-        """Set a box's time of day ahead by so many seconds."""
+        """Set the wall clock of a box ahead by so many seconds; negative: behind."""
         written = self.folder / "shift"
         written.write_text(str(seconds), encoding="utf-8")
         os.replace(written, self._file(name))
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def start(tmp_path, serve):
-    """Starts a fleet under calls; returns it once somebody reported."""
+    """Return a function that starts a fleet under load and waits until a box holds the duties."""
     made = []
 
     def started(ahead: dict[str, float] | None = None, turned_away: str = "") -> ShiftedFleet:
@@ -87,7 +87,7 @@
 
 
 def check_in_time(fleet, first: int, count: int) -> None:
-    """Check windows: each once and complete, in time, by one box at a time."""
+    """Check windows: each is reported once, completely, in time and by one box at a time."""
     wait_for_windows(fleet, first, count)
     check(fleet, first, count)
     late = first_told(fleet).values()
@@ -96,9 +96,9 @@
 
 
 @pytest.mark.parametrize("ahead", [-3.0, 3.0])
-@pytest.mark.parametrize("name", [HOLDER, HEIR, COUNTS_ONLY])
-def test_a_box_that_is_off_from_its_start(start, name, ahead):
-    """Also the first windows: calls come from the moment on at which all are ready."""
+@pytest.mark.parametrize("name", [HOLDER, SUCCESSOR, COUNTS_ONLY])
+def test_a_box_whose_clock_is_off_from_its_start(start, name, ahead):
+    """The first windows are reported too: calls begin as soon as all gateways are ready."""
     began_at = window_now()
     fleet = start({name: ahead})
     wait_for_windows(fleet, window_now(), 4)
@@ -106,25 +106,25 @@
     assert told == list(range(told[0], told[-1] + 1))
     calls_from = min(int(run["at"] // WINDOW_S) for run in fleet.callee.runs)
     assert began_at - 1 <= told[0] <= calls_from
-    # Calls came in a part of the first window only; it is off by no more than a whole one may be.
+    # Calls began within the first window; its error must not exceed that of a whole window.
     assert is_close(reported(fleet)[calls_from], began(fleet, calls_from), OFF_MOST)
     check_in_time(fleet, calls_from + 1, told[-1] - calls_from)
 
 
 @pytest.mark.parametrize("ahead", [-3.0, 3.0])
-@pytest.mark.parametrize("name", [HOLDER, HEIR, COUNTS_ONLY])
-def test_a_box_that_jumps_to_and_back(start, name, ahead):
+@pytest.mark.parametrize("name", [HOLDER, SUCCESSOR, COUNTS_ONLY])
+def test_a_box_whose_clock_jumps_and_jumps_back(start, name, ahead):
     fleet = start()
     first = window_now() + 1
     fleet.shift(name, ahead)
-    time.sleep(JUMP_LASTS_S)
+    time.sleep(JUMP_DURATION_S)
     fleet.shift(name, 0.0)
     check_in_time(fleet, first, 5)
 
 
 @pytest.mark.parametrize("ahead", [-3.0, 3.0])
-def test_a_box_that_starts_again_with_a_clock_that_is_off(start, ahead):
-    """It counts calls at once, before it has heard what the time is."""
+def test_a_box_that_restarts_with_a_clock_that_is_off(start, ahead):
+    """It counts calls at once, before it has learnt the true time from its peers."""
     fleet = start()
     box = box_of(fleet, COUNTS_ONLY)
     box.stop()
@@ -135,48 +135,48 @@
     check_in_time(fleet, first, 5)
 
 
-@pytest.mark.parametrize(("ahead", "heir_ahead"), [(0.0, -3.0), (0.0, 3.0), (-3.0, 3.0)])
-def test_the_next_holder_is_off(start, ahead, heir_ahead):
+@pytest.mark.parametrize(("ahead", "successor_ahead"), [(0.0, -3.0), (0.0, 3.0), (-3.0, 3.0)])
+def test_the_clock_of_the_next_holder_is_off(start, ahead, successor_ahead):
     fleet = start()
-    fleet.shift(HEIR, heir_ahead)
+    fleet.shift(SUCCESSOR, successor_ahead)
     fleet.shift(HOLDER, ahead)
     first = window_now() + 1
     time.sleep(WINDOW_S)
     box_of(fleet, HOLDER).process.send_signal(signal.SIGSTOP)
     try:
-        wait_for(lambda: holder(fleet) == HEIR, "another holder")
+        wait_for(lambda: holder(fleet) == SUCCESSOR, "another holder")
     finally:
         box_of(fleet, HOLDER).process.send_signal(signal.SIGCONT)
-    # What the frozen one counted since it was last asked comes too late for the first windows.
+    # Counts of the suspended box since it was last polled come too late for the first windows.
     wait_for_windows(fleet, first, 6)
     assert fleet.cloud.broken(APART_S) == []
     assert max(first_told(fleet).values()) < LATE_S
     check_in_time(fleet, window_now() + 1, 2)
 
 
-@pytest.mark.parametrize(("ahead", "heir_ahead"), [(3.0, -3.0), (-3.0, 3.0)])
-def test_a_planned_stop_hands_over_to_one_that_is_off(start, ahead, heir_ahead):
+@pytest.mark.parametrize(("ahead", "successor_ahead"), [(3.0, -3.0), (-3.0, 3.0)])
+def test_a_planned_stop_hands_over_to_a_box_whose_clock_is_off(start, ahead, successor_ahead):
     fleet = start()
     fleet.shift(HOLDER, ahead)
-    fleet.shift(HEIR, heir_ahead)
+    fleet.shift(SUCCESSOR, successor_ahead)
     first = window_now() + 1
     box_of(fleet, HOLDER).stop()
     check_in_time(fleet, first, 5)
-    assert holder(fleet) == HEIR
+    assert holder(fleet) == SUCCESSOR
 
 
-def test_a_key_is_away_in_time_whatever_the_clocks_say(start):
-    """Also where they jump while it is taken away, and a gateway hears of it from peers only."""
-    fleet = start({HOLDER: 3.0, HEIR: -3.0}, turned_away=COUNTS_ONLY)
-    kept, gone = (KEYS[name][0] for name in ("acme", "rival"))
+def test_a_key_is_revoked_in_time_whatever_the_clocks_show(start):
+    """Also if clocks jump during the revocation and one gateway learns of it from peers only."""
+    fleet = start({HOLDER: 3.0, SUCCESSOR: -3.0}, turned_away=COUNTS_ONLY)
+    kept, revoked = (KEYS[name][0] for name in ("acme", "rival"))
     fleet.configure(version=5, organisations={"acme": (kept,)})
-    for name, ahead in ((HOLDER, -3.0), (HEIR, 3.0), (COUNTS_ONLY, 3.0)):
+    for name, ahead in ((HOLDER, -3.0), (SUCCESSOR, 3.0), (COUNTS_ONLY, 3.0)):
         fleet.shift(name, ahead)
-    time.sleep(IN_FORCE_S)
-    until = time.monotonic() + JUMP_LASTS_S
+    time.sleep(MAX_CONFIGURATION_DELAY_S)
+    until = time.monotonic() + JUMP_DURATION_S
     while time.monotonic() < until:
         for box in fleet.gateways:
-            assert status(box, gone) == 401, box.name
+            assert status(box, revoked) == 401, box.name
             assert status(box, kept) == 200, box.name
 
 
--- a/tests/serve/test_duties.py
+++ b/tests/serve/test_duties.py
@@ -1,4 +1,4 @@
-"""Usage by organisation and window at real processes, held against what endpoints began."""
+"""Usage reports by organisation and window of real processes, compared to what endpoints ran."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         made.close()
 
 
-def test_each_window_is_reported_in_time_as_endpoints_began_them(fleet):
+def test_each_window_is_reported_in_time_as_endpoints_counted_it(fleet):
     first = window_now() + 1
     wait_for_windows(fleet, first, 4)
     check(fleet, first, 4)
@@ -50,7 +50,7 @@
     assert len({row["holder"] for row in fleet.cloud.taken}) == 1
 
 
-def test_a_holder_that_is_killed_is_followed_in_time(fleet):
+def test_a_killed_holder_is_succeeded_in_time(fleet):
     wait_for(lambda: holder(fleet), "a holder")
     first = window_now() + 1
     time.sleep(WINDOW_S)
@@ -61,11 +61,11 @@
     assert holder(fleet) != killed.name
     assert max(first_told(fleet).values()) < LATE_S
     told = reported(fleet)
-    # What the killed one counted since it was last asked, a second before at most, is not known.
+    # Counts of the killed holder since it was last polled, at most 1 s before, are lost.
     for window in range(first, first + 6):
-        truth, known = sum(began(fleet, window).values()), sum(told[window].values())
-        assert known <= truth + 2
-        assert known >= truth - 1.2 / CALL_EACH_S * 2 / 3
+        expected, reported_count = sum(began(fleet, window).values()), sum(told[window].values())
+        assert reported_count <= expected + 2
+        assert reported_count >= expected - 1.2 / CALL_EACH_S * 2 / 3
 
 
 def test_a_planned_stop_hands_the_duties_over_and_loses_no_request(fleet):
@@ -78,20 +78,20 @@
     assert holder(fleet) != stopped.name
 
 
-def test_a_holder_that_was_frozen_sends_nothing_old(fleet):
+def test_a_holder_that_was_suspended_sends_nothing_outdated(fleet):
     wait_for(lambda: holder(fleet), "a holder")
-    frozen = box_of(fleet, holder(fleet))
-    frozen.process.send_signal(signal.SIGSTOP)
+    suspended = box_of(fleet, holder(fleet))
+    suspended.process.send_signal(signal.SIGSTOP)
     try:
-        wait_for(lambda: holder(fleet) != frozen.name, "another holder")
+        wait_for(lambda: holder(fleet) != suspended.name, "another holder")
     finally:
-        frozen.process.send_signal(signal.SIGCONT)
+        suspended.process.send_signal(signal.SIGCONT)
     first = window_now() + 2
     wait_for_windows(fleet, first, 3)
     check(fleet, first, 3)
 
 
-def test_an_interface_that_turns_away_loses_answers_and_is_down_gets_each_window_once(fleet):
+def test_an_interface_that_rejects_loses_responses_and_is_down_gets_each_window_once(fleet):
     wait_for(lambda: holder(fleet), "a holder")
     first = window_now() + 1
     fleet.cloud.faults.update(turn_away=2, lose=2)
@@ -103,20 +103,20 @@
     check(fleet, first, 5)
 
 
-def test_a_silent_interface_holds_nothing_else_up(fleet):
+def test_an_unresponsive_interface_delays_nothing_else(fleet):
     wait_for(lambda: holder(fleet), "a holder")
     fleet.cloud.faults["hold_s"] = 5.0
     box = box_of(fleet, holder(fleet))
-    until = time.monotonic() + 2 * WINDOW_S
-    while time.monotonic() < until:
-        begun = time.monotonic()
+    deadline = time.monotonic() + 2 * WINDOW_S
+    while time.monotonic() < deadline:
+        started_at = time.monotonic()
         headers = {"X_Attempt_Id": "beside", **bearer(KEYS["acme"][0])}
         assert box.call("POST", "/x/", host=CALLS, **headers).status == 200
-        assert time.monotonic() - begun < 1.0
+        assert time.monotonic() - started_at < 1.0
     assert box.ready() == 200
 
 
-def test_where_no_duties_are_named_none_are_done(tmp_path, serve):
+def test_without_configured_duties_none_are_carried_out(tmp_path, serve):
     made = PlatformFleet(tmp_path, serve, gateways=1, engines=1)
     try:
         made.start()
@@ -128,7 +128,7 @@
         made.close()
 
 
-def test_a_pool_that_follows_demand_is_ordered_by_the_holder_within_its_bounds(fleet):
+def test_the_holder_orders_replicas_for_an_autoscaled_pool_within_its_bounds(fleet):
     wait_for(lambda: holder(fleet), "a holder")
     autoscale = {"minReplicas": 3, "maxReplicas": 5, "bootS": 1.0}
     fleet.configure(version=5, organisations=KEYS, pool={"autoscale": autoscale})
--- a/tests/serve/test_soak.py
+++ b/tests/serve/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak under faults, a short while in each run of the tests; ``make soak`` takes longer."""
+"""The soak test under faults: short in each run of the tests, longer with ``make soak``."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_breaks_under_faults(tmp_path, serve, seed):
+def test_nothing_is_violated_under_faults(tmp_path, serve, seed):
     soak = Soak(tmp_path, serve, seed)
     try:
         broken = soak.run(SECONDS)
-        print(*broken, sep="\n")  # a failure shows the first ones only
+        print(*broken, sep="\n")  # the assertion message shows the first ones only
         assert broken == []
-        assert soak.taken, "no lot was taken at all"
-        assert soak.answered, "no call was answered at all"
+        assert soak.taken, "no lot was accepted"
+        assert soak.answered, "no call was answered"
     finally:
         print(soak.told())
         soak.close()
