--- /dev/null
+++ b/src/threadramp/serve/service_settings.py
@@ -0,0 +1,73 @@
+"""Settings of threadramp itself: those that the platform's settings file does not hold."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+
+import msgspec
+
+from threadramp.config.findings import Finding, FindingsError
+from threadramp.policy.listing_policy import LISTINGS
+
+SETTINGS_FILE = Path("deploy", "threadramp.toml")  # processes start at the root of the checkout
+
+
+class WeightSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How engines load the versions that trainers publish.
+
+    :param versions_apart: 1 if each engine loads every version, 2 if half of a pool loads the even
+        and half the odd versions: half as many loads, but samples may be one version older
+    """
+
+    versions_apart: int = 1
+
+
+class LotSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How the results of lots are stored.
+
+    :param listing: when results are written to the store, a policy of ``policy/listing_policy.py``
+    """
+
+    listing: str = "at_once"
+
+
+class ServiceSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """All settings of threadramp itself."""
+
+    weights: WeightSettings = WeightSettings()
+    lots: LotSettings = LotSettings()
+
+
+def read_service_settings(path: Path = SETTINGS_FILE) -> ServiceSettings:
+    """Read the settings file; the defaults apply if it does not exist.
+
+    :raises FindingsError: if the file can't be read or a value is invalid; names the file or key
+    """
+    try:
+        text = path.read_text(encoding="utf-8")
+    except FileNotFoundError:
+        return ServiceSettings()
+    except (OSError, UnicodeDecodeError) as error:
+        raise FindingsError([Finding(str(path), str(error))]) from error
+    try:
+        settings = msgspec.convert(tomllib.loads(text), ServiceSettings)
+    except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
+        raise FindingsError([Finding(str(path), str(error))]) from error
+    if settings.weights.versions_apart not in (1, 2):
+        finding = Finding(
+            "weights.versions_apart", "expected 1 or 2: lots accept samples at most one version old"
+        )
+        raise FindingsError([finding])
+    if settings.lots.listing not in LISTINGS:
+        raise FindingsError([Finding("lots.listing", f"expected one of {sorted(LISTINGS)}")])
+    return settings
+
+
+__all__ = [
+    "SETTINGS_FILE",
+    "LotSettings",
+    "ServiceSettings",
+    "WeightSettings",
+    "read_service_settings",
+]
--- a/tests/serve/test_own_settings.py
+++ b/tests/serve/test_service_settings.py
@@ -1,4 +1,4 @@
-"""Our own settings file on the platform."""
+"""Reading threadramp's own settings file."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import pytest
 
 from threadramp.config.findings import FindingsError
-from threadramp.serve.own_settings import OwnSettings, read_own_settings
+from threadramp.serve.service_settings import ServiceSettings, read_service_settings
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "threadramp.toml"
 
 
-def test_the_file_that_is_deployed_is_good():
-    assert read_own_settings(DEPLOYED) == OwnSettings()
+def test_the_deployed_file_is_valid():
+    assert read_service_settings(DEPLOYED) == ServiceSettings()
 
 
-def test_without_a_file_the_usual_values_hold(tmp_path):
-    assert read_own_settings(tmp_path / "none.toml").weights.versions_apart == 1
+def test_without_a_file_the_defaults_apply(tmp_path):
+    assert read_service_settings(tmp_path / "none.toml").weights.versions_apart == 1
 
 
 @pytest.mark.parametrize(
@@ -31,9 +31,9 @@
         ("[weights\n", "own.toml"),
     ],
 )
-def test_bad_settings_are_refused_with_their_place(tmp_path, text, place):
+def test_invalid_settings_are_rejected_with_their_place(tmp_path, text, place):
     path = tmp_path / "own.toml"
     path.write_text(text)
     with pytest.raises(FindingsError) as failure:
-        read_own_settings(path)
+        read_service_settings(path)
     assert place in str(failure.value.findings[0])
