--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.serve.way import Way
+from tests.serve.tcp_proxy import TcpProxy
 from threadramp.edge.connections import IDLE_MOST_S, IDLE_S, Connections
 from threadramp.edge.exchange import Answer, ExchangeError, body_pieces, streamed_answer
 from threadramp.fleet.model import Endpoint
@@ -89,11 +89,11 @@
 
 def test_a_kept_connection_that_brings_nothing_may_be_silent(endpoint):
     connections = Connections()
-    way = Way(endpoint.address)
+    way = TcpProxy(endpoint.address)
     behind = Endpoint("i-1", "p", way.address, "a")
     exchange = sent(connections, behind)
     connections.keep(exchange, exchange.read(1.0), 0.0)
-    way.silence()
+    way.blackhole()
     with pytest.raises(ExchangeError) as caught:
         sent(connections, behind).read(0.2)
     assert caught.value.silent
--- a/tests/edge/test_silent_connections.py
+++ b/tests/edge/test_silent_connections.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tests.edge.test_forward import Fleet
-from tests.serve.way import Way, serve_behind
+from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 from threadramp.edge.job import Ending
 from threadramp.fleet.model import RouteKind
 
@@ -24,8 +24,8 @@
     """Endpoints with kept connections that can go silent."""
 
     def __init__(self, serve) -> None:
-        self.ways: list[Way] = []
-        self.fleet = Fleet(serve_behind(serve, self.ways, lambda standin: True))
+        self.ways: list[TcpProxy] = []
+        self.fleet = Fleet(serve_behind_proxy(serve, self.ways, lambda standin: True))
 
     def keep_connections(self) -> None:
         """Let each endpoint have a connection that is kept."""
@@ -34,7 +34,7 @@
 
     def silence(self) -> None:
         for way in self.ways:
-            way.silence()
+            way.blackhole()
 
     def run(self, kind=RouteKind.REPEATABLE):
         return self.fleet.run(kind, time_s=2.0, target_s=TARGET_S)
--- a/tests/fleet/test_silent_watch.py
+++ b/tests/fleet/test_silent_watch.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.serve.fleet import wait_for
-from tests.serve.way import Way
+from tests.serve.tcp_proxy import TcpProxy
 from threadramp.fleet.clock import Clock
 from threadramp.fleet.mirror import Mirror
 from threadramp.fleet.store_health import StoreHealth
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def proxy(store_address):
-    made = Way(store_address)
+    made = TcpProxy(store_address)
     yield made
     made.close()
 
@@ -41,7 +41,7 @@
     watcher = Watcher(mirror, StoreClient(proxy.address), health, clock, batches=False)
     watcher.start()
     wait_for(lambda: platform_store.counts["watches"] == 1, "the watch was sent")
-    proxy.silence()
+    proxy.blackhole()
     health.record_failure(clock.now(), StoreUnknownError("unreachable"))
     health.record_answer(clock.now())
     time.sleep(AT_ONCE_S)
--- a/tests/platform/test_store_lines.py
+++ b/tests/platform/test_store_lines.py
@@ -8,7 +8,7 @@
 import pytest
 from urllib3.connection import HTTPConnection
 
-from tests.serve.way import Way
+from tests.serve.tcp_proxy import TcpProxy
 from threadramp.platform.store import StoreClient
 from threadramp.platform.store_model import (
     Committed,
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def way(store_address):
-    made = Way(store_address)
+    made = TcpProxy(store_address)
     yield made
     made.close()
 
@@ -48,7 +48,7 @@
 
 def test_a_read_goes_once_more_on_a_new_connection_and_is_no_outage(store, way, observed, told):
     store.get("a")
-    way.silence()
+    way.blackhole()
     store.get("a")
     assert observed == [None, None]
     assert told == ["silence"]
@@ -61,7 +61,7 @@
             thread.start()
         for thread in threads:
             thread.join()
-    way.silence()
+    way.blackhole()
     for _ in range(3):
         store.get("a")
     assert told == ["silence"]
@@ -70,7 +70,7 @@
 def test_a_write_is_not_sent_again_and_says_nothing_of_the_store(store, way, observed, told):
     put = Transaction(puts=(Put("a", b"v"),))
     store.transact(put)
-    way.silence()
+    way.blackhole()
     with pytest.raises(KeptLineError):
         store.transact(put)
     assert observed == [None]
@@ -89,8 +89,8 @@
 
 def test_connections_that_were_reset_are_no_outage_either(store, way, observed):
     store.get("a")
-    way.shut()
-    way.open()
+    way.block()
+    way.unblock()
     store.get("a")
     assert observed == [None, None]
 
@@ -110,8 +110,8 @@
     assert store.watch("a", 0, 0.05, line).items == ()
     line.give_up()
     assert store.watch("a", 0, 0.05, line).items == ()
-    way.shut()
-    way.open()
+    way.block()
+    way.unblock()
     with pytest.raises(StoreUnknownError):
         store.watch("a", 0, 0.05, line)
     assert store.watch("a", 0, 0.05, line).items == ()
@@ -155,7 +155,7 @@
         thread = threading.Thread(target=watch, daemon=True)
         thread.start()
         assert connecting.wait(2.0)
-        way.silence()
+        way.blackhole()
         line.connection.sock, kept = None, line.connection.sock  # as before the connect is done
         line.give_up()
         released.set()
@@ -167,7 +167,7 @@
 def test_a_write_of_an_outages_last_moments_is_settled_by_its_next_look(store, way, platform_store):
     """It may be done though no answer came; who asks again learns which of the two it was."""
     store.get("a")
-    way.silence()
+    way.blackhole()
     put = Transaction({"a": 0}, (Put("a", b"v"),))
     with pytest.raises(KeptLineError):
         store.transact(put)
--- a/tests/scenarios/test_lagging_sidecars.py
+++ b/tests/scenarios/test_lagging_sidecars.py
@@ -16,7 +16,7 @@
 
 from tests.scenarios.test_second_answers import forwarded
 from tests.scenarios.world import BANK
-from tests.serve.way import Way
+from tests.serve.tcp_proxy import TcpProxy
 from tests.stuttering import LATE, Stutterer
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 HELD_S = 0.5
 
 
-class SlowWay(Way):
+class SlowWay(TcpProxy):
     """Passes bytes on after a delay.
 
     :ivar delay_s: of each piece, in both directions
--- a/tests/serve/faults.py
+++ b/tests/serve/faults.py
@@ -21,7 +21,7 @@
 
     from tests.serve.fleet import Box
     from tests.serve.soak import Soak
-    from tests.serve.way import Way
+    from tests.serve.tcp_proxy import TcpProxy
 
 FIRST_BIRTH = 1_700_000_000_000
 STOPPED = "T"  # the state of a process that stands still
@@ -107,8 +107,8 @@
 def shut_ways(soak: Soak) -> Callable[[], None]:
     shut = soak.random.sample(soak.ways, 3)
     for way in shut:
-        way.shut()
-    return lambda: [way.open() for way in shut]
+        way.block()
+    return lambda: [way.unblock() for way in shut]
 
 
 @FAULTS.register("open connections to the store silent")
@@ -121,10 +121,10 @@
     return _silence(soak.engine_ways)
 
 
-def _silence(ways: list[Way]) -> Callable[[], None]:
+def _silence(ways: list[TcpProxy]) -> Callable[[], None]:
     """Let what is open now pass nothing for good; there is nothing to heal."""
     for way in ways:
-        way.silence()
+        way.blackhole()
     return lambda: None
 
 
--- a/tests/serve/lasting_faults.py
+++ b/tests/serve/lasting_faults.py
@@ -21,8 +21,8 @@
     from collections.abc import Callable
     from random import Random
 
-    from tests.serve.cut_way import CutWay
     from tests.serve.fleet import Box
+    from tests.serve.partitionable_proxy import PartitionableProxy
     from tests.serve.soak import Soak
 
 RIGHTS = "engine/"
@@ -245,14 +245,14 @@
     return _cut(random, [*soak.engine_ways, *soak.ways])
 
 
-def _cut(random: Random, ways: list[CutWay]) -> Callable[[], None]:
+def _cut(random: Random, ways: list[PartitionableProxy]) -> Callable[[], None]:
     """Cut some ways, on all connections or on some; new ones may work."""
     cut = random.sample(ways, random.randint(1, len(ways)))
     share = random.choice((0.5, 1.0))
     share_of_new = random.choice((0.0, 0.5, 1.0))
     for way in cut:
-        way.cut(share, share_of_new, random)
-    return lambda: [way.mend() for way in cut]
+        way.partition(share, share_of_new, random)
+    return lambda: [way.heal() for way in cut]
 
 
 @PASSING.register("endpoints stutter")
--- a/tests/serve/cut_way.py
+++ b/tests/serve/partitionable_proxy.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from tests.serve.way import Way, raise_if_reset
+from tests.serve.tcp_proxy import TcpProxy, raise_if_reset
 
 if TYPE_CHECKING:
     import socket
@@ -20,7 +20,7 @@
 FIRST_REPEAT_S = 0.2  # after this the kernel sends once more, then after twice as long each time
 
 
-class CutWay(Way):
+class PartitionableProxy(TcpProxy):
     """A way of which some connections can be cut, each in one direction or in both."""
 
     def __init__(self, target: str) -> None:
@@ -31,9 +31,9 @@
         self.is_cut = False
         self.known: set[socket.socket] = set()
         self.held: set[socket.socket] = set()
-        self.mended_at: list[float] = []
+        self.healed_at: list[float] = []
 
-    def cut(self, share: float, share_of_new: float, random: Random) -> None:
+    def partition(self, share: float, share_of_new: float, random: Random) -> None:
         """Keep back what is sent, until the way is mended.
 
         :param share: of what is open, each direction by itself
@@ -46,18 +46,18 @@
             self.held = {one for one in self.known if random.random() < share}
             self.is_cut = True
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """Let come what was kept back, each piece when its kernel sends it again."""
         with self.changed:
             if self.is_cut:
-                self.mended_at.append(time.monotonic())
+                self.healed_at.append(time.monotonic())
             self.is_cut = False
             self.held.clear()
             self.changed.notify_all()
 
     def close(self) -> None:
         """End it."""
-        self.mend()
+        self.heal()
         super().close()
 
     def _wait_while_held(self, source: socket.socket, piece: bytes) -> None:
@@ -68,7 +68,7 @@
                 return
             self.changed.wait_for(lambda: source not in self.held)
         held_s = time.monotonic() - since
-        time.sleep(repeated_after_s(held_s) - held_s)
+        time.sleep(retransmission_delay_s(held_s) - held_s)
         raise_if_reset(source)
 
     def _is_held(self, source: socket.socket) -> bool:
@@ -79,7 +79,7 @@
         return source in self.held
 
 
-def repeated_after_s(held_s: float) -> float:
+def retransmission_delay_s(held_s: float) -> float:
     """Return after how long the kernel sends again what it could not for a time."""
     pause_s = after_s = FIRST_REPEAT_S
     while after_s < held_s:
@@ -88,4 +88,4 @@
     return after_s
 
 
-__all__ = ["CutWay", "repeated_after_s"]
+__all__ = ["PartitionableProxy", "retransmission_delay_s"]
--- a/tests/serve/soak.py
+++ b/tests/serve/soak.py
@@ -19,16 +19,16 @@
 
 from tests.serve import shifted
 from tests.serve.crashing_pool import CrashingPool
-from tests.serve.cut_way import CutWay
 from tests.serve.faults import FAULTS
 from tests.serve.fleet import CALLS, HOST, PlatformFleet, is_engine
 from tests.serve.keys_in_turn import STEADY_KEY, OrganisationKeysInTurn
 from tests.serve.lasting_faults import LENGTHS_S, PASSING, REPLACED, STANDING, STUMBLING
 from tests.serve.order_watch import OrderWatch
+from tests.serve.partitionable_proxy import PartitionableProxy
 from tests.serve.soak_checks import EVENTS, SAMPLES, broken
 from tests.serve.store_gate import StoreGate
 from tests.serve.stuttering_fronts import serve_stuttering
-from tests.serve.way import put_before, serve_behind
+from tests.serve.tcp_proxy import proxy_store, serve_behind_proxy
 from threadramp.platform.standins.crashing import FrontProxy, WhileDown
 
 if TYPE_CHECKING:
@@ -63,10 +63,10 @@
     def __init__(self, folder: Path, serve: Callable[[StandIn], str], seed: int) -> None:
         self.seed = seed
         self.random = Random(seed)
-        self.engine_ways: list[CutWay] = []
+        self.engine_ways: list[PartitionableProxy] = []
         self.fronts: list[StutteringFront] = []
         stuttering = serve_stuttering(serve, self.fronts, seed)
-        behind = serve_behind(stuttering, self.engine_ways, is_engine, CutWay)
+        behind = serve_behind_proxy(stuttering, self.engine_ways, is_engine, PartitionableProxy)
         self.fleet = PlatformFleet(folder, behind, gateways=3, engines=3, window_s=WINDOW_S)
         self.ahead: dict[str, float] = {}
         self.apart_s = APART_S[seed % len(APART_S)]
@@ -78,7 +78,10 @@
         self.keys = OrganisationKeysInTurn(self.fleet)
         for gateway in self.fleet.gateways:
             gateway.key = STEADY_KEY
-        self.ways = [put_before(box, self.fleet.store_address, CutWay) for box in self.fleet.boxes]
+        self.ways = [
+            proxy_store(box, self.fleet.store_address, PartitionableProxy)
+            for box in self.fleet.boxes
+        ]
         for engine in self.fleet.engines:
             engine.faults.update(events=EVENTS, gap_s=GAP_S, marked=True)
         self.thawed: dict[str, list[float]] = defaultdict(list)
@@ -169,7 +172,7 @@
     def _mended(self, engine: str) -> list[float]:
         """Return when the way to an engine was mended."""
         number = [one.instance for one in self.fleet.engines].index(engine)
-        return self.engine_ways[number].mended_at
+        return self.engine_ways[number].healed_at
 
     def _guarded(self, loop: Callable[[], None]) -> None:
         """Run a loop; one that ends by an error breaks the soak, whatever was not done then."""
--- a/tests/serve/way.py
+++ b/tests/serve/tcp_proxy.py
@@ -17,10 +17,10 @@
 PIECE = 65_536
 
 
-W = TypeVar("W", bound="Way")
+W = TypeVar("W", bound="TcpProxy")
 
 
-class Way:
+class TcpProxy:
     """Passes bytes on to an address; while it is shut, connections are reset.
 
     Connections that went silent pass nothing on any more, and neither end hears of the other's end.
@@ -36,7 +36,7 @@
         self.passed_at: dict[socket.socket, float] = {}
         self.flowing = threading.Event()
         self.hold_word = b""
-        self.holds = False
+        self.is_holding = False
         self.listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -46,13 +46,13 @@
         host, port = self.listener.getsockname()
         return f"{host}:{port}"
 
-    def shut(self) -> None:
+    def block(self) -> None:
         """Reset all connections, and new ones from now on."""
         self.is_open = False
         for one in list(self.sockets):
             _reset(one)
 
-    def silence(self, rested_s: float = 0.0) -> None:
+    def blackhole(self, rested_s: float = 0.0) -> None:
         """Let connections that are open now go silent for good; new ones work.
 
         :param rested_s: only those that passed nothing for so long
@@ -60,7 +60,7 @@
         until = time.monotonic() - rested_s
         self.silent |= {one for one in self.sockets if self.passed_at.get(one, 0.0) <= until}
 
-    def hold_at(self, word: bytes) -> None:
+    def hold_matching(self, word: bytes) -> None:
         """Let the next bytes with a word in them lie here until it goes on, as behind a cut.
 
         What was sent lies in its sender's kernel then, also once the sender has ended; it is
@@ -69,17 +69,17 @@
         self.hold_word = word
         self.flowing.clear()
 
-    def go_on(self) -> None:
+    def release(self) -> None:
         """Pass on what lies here, also of connections that were closed meanwhile."""
         self.flowing.set()
 
-    def open(self) -> None:
+    def unblock(self) -> None:
         """Pass connections on again."""
         self.is_open = True
 
     def close(self) -> None:
         """End it."""
-        self.shut()
+        self.block()
         self.listener.close()
 
     def _accept(self) -> None:
@@ -122,9 +122,9 @@
         if not self.hold_word or self.hold_word not in piece:
             return
         self.hold_word = b""
-        self.holds = True
+        self.is_holding = True
         self.flowing.wait()
-        self.holds = False
+        self.is_holding = False
         raise_if_reset(source)
 
 
@@ -138,7 +138,7 @@
         raise ConnectionResetError(error, "what lay here is dropped")
 
 
-def put_before(box: Box, store_address: str, kind: type[W] = Way) -> W:
+def proxy_store(box: Box, store_address: str, kind: type[W] = TcpProxy) -> W:
     """Let a process that has not started yet reach the store through a way."""
     way = kind(store_address)
     box.settings["provider"]["address"] = way.address
@@ -146,11 +146,11 @@
     return way
 
 
-def serve_behind(
+def serve_behind_proxy(
     serve: Callable[[StandIn], str],
     made: list[W],
     wanted: Callable[[StandIn], bool],
-    kind: type[W] = Way,
+    kind: type[W] = TcpProxy,
 ) -> Callable[[StandIn], str]:
     """Return what serves stand-ins as ``serve`` does, those that are wanted behind a way.
 
@@ -174,4 +174,4 @@
     one.close()
 
 
-__all__ = ["Way", "put_before", "raise_if_reset", "serve_behind"]
+__all__ = ["TcpProxy", "proxy_store", "raise_if_reset", "serve_behind_proxy"]
--- a/tests/serve/test_clocks.py
+++ b/tests/serve/test_clocks.py
@@ -10,6 +10,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, bearer, wait_for
+from tests.serve.tcp_proxy import proxy_store
 from tests.serve.usage import (
     APART_S,
     KEYS,
@@ -27,7 +28,6 @@
     wait_for_windows,
     window_now,
 )
-from tests.serve.way import put_before
 from threadramp.policy.duty_assignment import succession_order
 
 LAUNCHER = Path(__file__).parent / "shifted.py"
@@ -69,11 +69,11 @@
     def started(ahead: dict[str, float] | None = None, turned_away: str = "") -> ShiftedFleet:
         fleet = ShiftedFleet(tmp_path, serve, ahead or {})
         callers = Callers(fleet)
-        ways = [put_before(box_of(fleet, turned_away), fleet.store_address)] if turned_away else []
+        ways = [proxy_store(box_of(fleet, turned_away), fleet.store_address)] if turned_away else []
         made.append((fleet, callers, ways))
         fleet.start()
         for way in ways:
-            way.shut()
+            way.block()
         callers.start()
         wait_for(lambda: holder(fleet), "a holder")
         return fleet
--- a/tests/serve/test_cuts.py
+++ b/tests/serve/test_cuts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, wait_for
-from tests.serve.way import Way, put_before
+from tests.serve.tcp_proxy import TcpProxy, proxy_store
 from threadramp.fleet.membership import LEASE_S
 from threadramp.platform.standins.endpoint import PlatformEngine
 
@@ -22,7 +22,7 @@
     """A fleet whose gateways reach the store through ways that can be shut."""
     fleet, made = fleet_parts
     for gateway in fleet.gateways:
-        made.append(put_before(gateway, fleet.store_address))
+        made.append(proxy_store(gateway, fleet.store_address))
     fleet.start()
     for gateway in fleet.gateways:  # one that knows no peer yet has no other way
         wait_for(lambda box=gateway: len(box.lines("member")) >= 4, f"{gateway.name} knows all")
@@ -34,14 +34,14 @@
     """A fleet whose sidecars reach the store through ways that can be shut."""
     fleet, made = fleet_parts
     for sidecar in fleet.sidecars:
-        made.append(put_before(sidecar, fleet.store_address))
+        made.append(proxy_store(sidecar, fleet.store_address))
     fleet.start()
     return fleet, made
 
 
 @pytest.fixture
 def fleet_parts(tmp_path, serve):
-    made: list[Way] = []
+    made: list[TcpProxy] = []
     fleet = PlatformFleet(tmp_path, serve)
     yield fleet, made
     fleet.close()
@@ -56,7 +56,7 @@
 def test_gateways_without_a_way_hear_of_changes_through_sidecars(ways):
     fleet, made = ways
     for way in made:
-        way.shut()
+        way.block()
     assert fleet.hand_in(fleet.gateways[0], "lot1") == 202
     assert len(fleet.whole(fleet.gateways[1], "lot1")) == 6
     fleet.configure(version=4, pathPrefix="/new/")
@@ -67,7 +67,7 @@
 def test_an_endpoint_that_leaves_meanwhile_gets_nothing_new(ways):
     fleet, made = ways
     for way in made:
-        way.shut()
+        way.block()
     fleet.register("i-c0", "calls", "127.0.0.1:1", state="draining")
     for gateway in fleet.gateways:
         wait_for(lambda box=gateway: ask(box).status == 503, "nowhere to go", 3.0)
@@ -76,12 +76,12 @@
 def test_one_gateway_without_a_way_serves_on(ways):
     fleet, made = ways
     first, second = fleet.gateways
-    made[0].shut()
+    made[0].block()
     assert fleet.hand_in(first, "lot1") == 202
     assert len(fleet.whole(first, "lot1")) == 6
     fleet.configure(version=4, pathPrefix="/new/")
     wait_for(lambda: ask(first, "/new/x").status == 200, "new route", 3.0)
-    made[0].open()
+    made[0].unblock()
     wait_for(lambda: first.lines("store_regained"), "its own way is used again", 5.0)
     assert len(fleet.whole(second, "lot1")) == 6
 
@@ -93,11 +93,11 @@
     gone = PlatformEngine({"instance": "i-c1"})
     fleet.register("i-c1", "calls", fleet.serve(gone))
     wait_for(lambda: ask(first).status == 200 and gone.runs, "both endpoints are used")
-    way.shut()
+    way.block()
     time.sleep(AWAY_S)
     refused = way.refused
     wait_for(lambda: way.refused > refused, "a probe just found the way shut")
-    way.open()
+    way.unblock()
     opened_at = time.monotonic()
     time.sleep(REMOVED_AFTER_S)
     fleet.remove("servers/i-c1")
@@ -111,7 +111,7 @@
 def test_sidecars_without_a_way_hear_of_versions_and_stay_listed(sidecar_ways):
     fleet, made = sidecar_ways
     for way in made:
-        way.shut()
+        way.block()
     fleet.name_version(2)
     for engine in fleet.engines:
         wait_for(lambda one=engine: one.versions["m"] == 2, f"{engine.instance} loads", 8.0)
--- a/tests/serve/test_keys_taken_away.py
+++ b/tests/serve/test_keys_taken_away.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, bearer, wait_for
-from tests.serve.way import put_before
+from tests.serve.tcp_proxy import proxy_store
 
 OLD, NEW, OTHER = "acme-key-0123456789", "acme-next-012345678", "rival-key-987654321"
 BEFORE = {"acme": (OLD, NEW), "rival": (OTHER,)}
@@ -25,7 +25,7 @@
     def start(**bounds):
         fleet = PlatformFleet(tmp_path, serve, gateways=3, engines=1)
         fleet.configure(version=4, organisations=BEFORE)
-        ways = [put_before(gateway, fleet.store_address) for gateway in fleet.gateways]
+        ways = [proxy_store(gateway, fleet.store_address) for gateway in fleet.gateways]
         for gateway in fleet.gateways:
             gateway.settings["bounds"] |= bounds
             gateway.write()
@@ -74,7 +74,7 @@
 
 def test_a_key_is_away_everywhere_within_the_bound_also_where_the_store_turns_away(make):
     fleet, ways = make()
-    ways[1].shut()
+    ways[1].block()
     time.sleep(1.0)
     askers = [Asker(gateway) for gateway in fleet.gateways]
     time.sleep(0.5)
@@ -90,7 +90,7 @@
 
 def test_a_gateway_that_starts_meanwhile_lets_no_old_key_in_and_no_good_one_out(make):
     fleet, ways = make()
-    ways[0].shut()
+    ways[0].block()
     time.sleep(1.0)
     asker = Asker(fleet.gateways[2])
     fleet.gateways[2].kill()
@@ -108,8 +108,8 @@
 def test_while_the_store_is_silent_for_all_callers_are_served_on(make):
     fleet, ways = make()
     for way in ways:
-        way.silence()
-        way.shut()
+        way.blackhole()
+        way.block()
     askers = [Asker(gateway) for gateway in fleet.gateways]
     time.sleep(6.5)
     for asker in askers:
@@ -130,7 +130,7 @@
         sidecar.kill()
     shut_at = time.monotonic()
     for way in ways:
-        way.shut()
+        way.block()
     time.sleep(4.0)
     for asker in askers:
         asker.stop()
@@ -142,7 +142,7 @@
     """Its own way counts no more than another one: refusing would turn sound callers away."""
     fleet, ways = make(revokeStrict=True, revokeMs=2500, contactMs=2000)
     for way in ways:
-        way.shut()
+        way.block()
     askers = [Asker(gateway) for gateway in fleet.gateways]
     time.sleep(2.0)
     taken_away = time.monotonic()
--- a/tests/serve/test_one_holder.py
+++ b/tests/serve/test_one_holder.py
@@ -19,7 +19,7 @@
 
 from tests.serve.fleet import PlatformFleet, wait_for
 from tests.serve.orders import broken_by
-from tests.serve.way import Way, serve_behind
+from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 from threadramp.platform.standins.endpoint import PlatformEngine
 
 STOOD_IN_S = (
@@ -30,14 +30,14 @@
 
 
 @pytest.fixture
-def ways() -> list[Way]:
+def ways() -> list[TcpProxy]:
     return []
 
 
 @pytest.fixture
 def fleet(tmp_path, serve, ways):
     """Two gateways and one engine with its sidecar; what goes to the engine can be held up."""
-    behind = serve_behind(serve, ways, lambda one: getattr(one, "instance", "") == "i-e0")
+    behind = serve_behind_proxy(serve, ways, lambda one: getattr(one, "instance", "") == "i-e0")
     made = PlatformFleet(tmp_path, behind, gateways=2, engines=1)
     made.engines[0].faults["load_s"] = LOAD_S
     try:
@@ -71,12 +71,12 @@
     engine, side = fleet.engines[0], fleet.sidecars[0]
     fleet.name_version(2)
     wait_for(lambda: has_loaded(engine, 2), "the sidecar ordered")
-    ways[0].hold_at(b"POST /threadramp/order")
+    ways[0].hold_matching(b"POST /threadramp/order")
     fleet.name_version(3)
-    wait_for(lambda: ways[0].holds, "its next order is on its way")
+    wait_for(lambda: ways[0].is_holding, "its next order is on its way")
     side.kill()
     fleet.remove("member/side-0")
     wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", STOOD_IN_S)
-    ways[0].go_on()
+    ways[0].release()
     time.sleep(LATE_S)
     assert broken_by(engine.arrived) == []
--- a/tests/serve/test_restarts.py
+++ b/tests/serve/test_restarts.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.serve.fleet import PlatformFleet, is_engine, wait_for
-from tests.serve.way import Way, serve_behind
+from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 
 SAMPLES = 8
 SOON_S = 2.5  # a report each 0.2 s, a change of the list, and a round of samples
@@ -25,8 +25,8 @@
 @pytest.fixture
 def behind_ways(tmp_path, serve):
     """A fleet of one engine, which is reached through a way that can be cut."""
-    made: list[Way] = []
-    fleet = PlatformFleet(tmp_path, serve_behind(serve, made, is_engine), engines=1)
+    made: list[TcpProxy] = []
+    fleet = PlatformFleet(tmp_path, serve_behind_proxy(serve, made, is_engine), engines=1)
     (engine,) = fleet.engines
     engine.born = BORN
     fleet.register(engine.instance, "engines", made[0].address, born=BORN)
@@ -80,7 +80,7 @@
     fleet, way = behind_ways
     begin_lot(fleet)
     time.sleep(0.5)
-    way.silence()
+    way.blackhole()
     start_again(fleet, way)
     before = len(fleet.engines[0].runs)
     wait_for(lambda: len(fleet.engines[0].runs) > before, "samples go on", SOON_S)
--- a/tests/serve/test_silent.py
+++ b/tests/serve/test_silent.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, wait_for
-from tests.serve.way import Way, put_before
+from tests.serve.tcp_proxy import TcpProxy, proxy_store
 
 CONTACT_S = 3.0  # after a disturbance of its connections, a box is held to the bounds again
 DRAIN_S = 2.0  # a leaving endpoint gets no new work after this
@@ -24,11 +24,11 @@
 @pytest.fixture
 def silenced(tmp_path, serve):
     """A fleet of which all processes reach the store through ways that can go silent."""
-    made: list[Way] = []
+    made: list[TcpProxy] = []
     fleet = PlatformFleet(tmp_path, serve)
     try:  # a set-up that fails leaves no process behind either
         for box in fleet.boxes:
-            made.append(put_before(box, fleet.store_address))
+            made.append(proxy_store(box, fleet.store_address))
         fleet.start()
         for gateway in fleet.gateways:
             wait_for(lambda box=gateway: ask(box).status == 200, f"{gateway.name} serves")
@@ -46,7 +46,7 @@
 def test_an_endpoint_that_leaves_is_sent_nothing_though_open_connections_are_silent(silenced):
     fleet, made = silenced
     for way in made:
-        way.silence()
+        way.blackhole()
     silent_at = time.monotonic()
     address = fleet.callee_address
     fleet.register("i-c0", "calls", address, state="draining")
@@ -59,7 +59,7 @@
 def let_go_silent(made, rested_s: float = 0.0) -> float:
     """Silence all ways, and return when the boxes are held to the bounds again."""
     for way in made:
-        way.silence(rested_s)
+        way.blackhole(rested_s)
     return time.monotonic() + CONTACT_S
 
 
--- a/tests/serve/test_silent_engine.py
+++ b/tests/serve/test_silent_engine.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.serve.fleet import PlatformFleet, is_engine, wait_for
-from tests.serve.way import Way, serve_behind
+from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 
 GONE_ON_S = 2.0  # within which each sample is begun anew; a box is held to its bounds after 3 s
 SAMPLES = 8
@@ -23,9 +23,9 @@
 @pytest.fixture
 def behind_ways(tmp_path, serve):
     """A fleet whose engines are reached through ways that can go silent."""
-    made: list[Way] = []
+    made: list[TcpProxy] = []
 
-    fleet = PlatformFleet(tmp_path, serve_behind(serve, made, is_engine))
+    fleet = PlatformFleet(tmp_path, serve_behind_proxy(serve, made, is_engine))
     try:  # a set-up that fails leaves no process behind either
         fleet.start()
         yield fleet, made
@@ -53,7 +53,7 @@
     begin_lot(fleet)
     before = {engine.instance: sorted(run["id"] for run in engine.runs) for engine in fleet.engines}
     for way in made:
-        way.silence()
+        way.blackhole()
     time.sleep(GONE_ON_S)
     for engine in fleet.engines:
         again = [run for run in engine.runs if run["after"]]
@@ -67,7 +67,7 @@
     begin_lot(fleet)
     fleet.whole(fleet.gateways[0], "lot1")
     for way in made:
-        way.silence()
+        way.blackhole()
     time.sleep(GONE_ON_S)
     for sidecar in fleet.sidecars:
         assert not sidecar.lines("engine_lost")
