--- a/tests/serve/fleet.py
+++ b/tests/serve/fleet.py
@@ -1,4 +1,4 @@
-"""Real processes of the roles on loopback, with stand-ins for the platform and the endpoints."""
+"""Runs gateway and sidecar processes on loopback, with stand-ins for platform and endpoints."""
 
 from __future__ import annotations
 
@@ -25,50 +25,53 @@
 
 ROOT = Path(__file__).parents[2]
 PORTS = {"front": 8161, "ready": 8167, "peer": 7720, "metrics": 9464}
-PATIENCE_S = 30.0
-USAGE_LATE_S = 10  # after a window's end, until its report is due
+WAIT_TIMEOUT_S = 30.0
+USAGE_REPORT_DELAY_S = 10  # from the end of a window until its usage report is due
 HOST = "models.example"
 CALLS = "calls.example"
-_boxes = itertools.count(1)
+_ip_numbers = itertools.count(1)
 
 
-class NotInTimeError(AssertionError, TimeoutError):
-    """A condition did not hold in time: what a scenario asserts, as any other assertion."""
+class WaitTimeoutError(AssertionError, TimeoutError):
+    """A condition did not hold in time; an assertion error, since a test asserts that it does."""
 
 
-def wait_for(condition, what: str, timeout_s: float = PATIENCE_S):
-    """Wait until a condition holds and return its value.
+def wait_for(condition, what: str, timeout_s: float = WAIT_TIMEOUT_S):
+    """Poll a condition until it is true and return its value.
 
-    :raises NotInTimeError: if it does not hold in time
+    HTTP and OS errors count as not true yet.
+
+    :param what: what is waited for, for the error message
+    :raises WaitTimeoutError: if it does not hold in time
     """
-    until = time.monotonic() + timeout_s
-    while time.monotonic() < until:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         with suppress(HTTPError, OSError):
             value = condition()
             if value:
                 return value
         time.sleep(0.03)
-    raise NotInTimeError(f"not in {timeout_s} s: {what}")
+    raise WaitTimeoutError(f"timed out after {timeout_s} s waiting for: {what}")
 
 
 def new_ip() -> str:
-    """Return a loopback address that no other test process uses."""
-    number = next(_boxes)
+    """Return a loopback address that no other box uses, in this or another test process."""
+    number = next(_ip_numbers)
     return f"127.{64 + os.getpid() // 250 % 64}.{os.getpid() % 250}.{number % 250 + 1}"
 
 
 def bearer(key: str) -> dict[str, str]:
-    """Return the header in which a caller shows a key, none for an empty one."""
+    """Return the authorization header for an API key, or no header for an empty key."""
     return {"Authorization": f"Bearer {key}"} if key else {}
 
 
 def is_engine(standin) -> bool:
-    """Return whether a stand-in is an engine of a fleet, beside a sidecar."""
+    """Return whether a stand-in is an engine of a fleet that has a sidecar."""
     return isinstance(standin, PlatformEngine) and standin.instance.startswith("i-e")
 
 
 class Box:
-    """One box with one process of ours."""
+    """A box with its own loopback address that runs one gateway or sidecar process."""
 
     def __init__(self, folder: Path, role: str, name: str, store: str, endpoint: str = ""):
         self.ip = new_ip()
@@ -97,7 +100,7 @@
         self.write()
 
     def write(self) -> None:
-        """Write the settings file."""
+        """Write the settings to the file that the process reads."""
         self.file.write_text(yaml.safe_dump(self.settings), encoding="utf-8")
 
     def start(self) -> None:
@@ -111,19 +114,19 @@
             )
 
     def kill(self) -> None:
-        """End the process without a word."""
+        """Kill the process without a shutdown."""
         self.process.kill()
         self.process.wait()
 
     def stop(self) -> float:
-        """Ask the process to stop; returns the seconds until it has ended."""
+        """Stop the process with SIGTERM and return the seconds until it has exited."""
         started = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
-        self.process.wait(PATIENCE_S)
+        self.process.wait(WAIT_TIMEOUT_S)
         return time.monotonic() - started
 
     def lines(self, kind: str = "") -> list[dict]:
-        """Return the log lines of a kind."""
+        """Return the JSON log lines, of all kinds or of one ``message_type``."""
         rows = []
         for line in self.log.read_text(encoding="utf-8").splitlines():
             with suppress(json.JSONDecodeError):
@@ -133,31 +136,38 @@
         return rows
 
     def call(self, method: str, target: str, host=HOST, body=b"", timeout_s=10.0, **headers):
-        """Send one request to this gateway."""
+        """Send one request to this gateway, with the box's API key if it has one.
+
+        :param headers: names with ``_`` for ``-``
+        """
         pool = HTTPConnectionPool(self.ip, PORTS["front"], retries=False)
-        shown = bearer(self.key) | headers
-        named = {name.replace("_", "-"): value for name, value in shown.items()}
+        with_key = bearer(self.key) | headers
+        sent = {name.replace("_", "-"): value for name, value in with_key.items()}
         with pool:
             return pool.urlopen(
-                method, target, body=body, headers={"Host": host, **named},
+                method, target, body=body, headers={"Host": host, **sent},
                 timeout=Timeout(connect=1.0, read=timeout_s), redirect=False,
             )  # fmt: skip
 
     def ready(self) -> int:
-        """Return the status of the question for readiness."""
+        """Return the status code of the readiness check."""
         pool = HTTPConnectionPool(self.ip, PORTS["ready"], retries=False, timeout=1.0)
         with pool:
             return pool.urlopen("GET", "/threadramp/ready").status
 
     def metrics(self) -> str:
-        """Return this process's own figures."""
+        """Return the metrics of this process."""
         pool = HTTPConnectionPool(self.ip, PORTS["metrics"], retries=False, timeout=1.0)
         with pool:
             return pool.urlopen("GET", "/metrics").data.decode()
 
 
 class PlatformFleet:
-    """Gateways, sidecars and stand-ins."""
+    """Gateways, sidecars, and the stand-ins for the store, the cloud and the endpoints.
+
+    :param serve: serves a stand-in and returns its address
+    :param window_s: length of a usage report window; 0 for a fleet without duties
+    """
 
     def __init__(
         self, folder: Path, serve, gateways: int = 2, engines: int = 2, window_s: float = 0.0
@@ -180,29 +190,32 @@
         self.callee_address = serve(self.callee)
         self.register("i-c0", "calls", self.callee_address)
         self.configure()
-        self.name_version(1)
+        self.publish_version(1)
 
     def _box(self, folder: Path, role: str, name: str, endpoint: str = "") -> Box:
         box = Box(folder, role, name, self.store_address, endpoint)
         if self.window_s:
             box.settings["cloud"] = {"address": self.cloud_address, "duties": ["usage", "scale"]}
-            box.settings["bounds"] |= {"reportWindowS": self.window_s, "usageLateS": USAGE_LATE_S}
+            box.settings["bounds"] |= {
+                "reportWindowS": self.window_s,
+                "usageLateS": USAGE_REPORT_DELAY_S,
+            }
             box.write()
         self.boxes.append(box)
         return box
 
     def start(self) -> None:
-        """Start all processes and wait until they serve."""
+        """Start all processes and wait until the gateways are ready and all boxes are members."""
         for box in self.boxes:
             box.start()
         for gateway in self.gateways:
             wait_for(lambda box=gateway: box.ready() == 200, f"{gateway.name} ready")
-        # Beside the members stand other keys, such as that of the holder of the duties.
+        # The prefix also holds keys of no box, such as that of the holder of the duties.
         listed = {f"member/{box.name}" for box in self.boxes}
         wait_for(lambda: listed <= set(self.keys("member/")), "all members listed")
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes that still run."""
         for box in self.boxes:
             if box.process is not None and box.process.poll() is None:
                 box.kill()
@@ -213,22 +226,22 @@
             return [key for key in self.store.data if key.startswith(prefix)]
 
     def value(self, key: str) -> bytes:
-        """Return the value of a key."""
+        """Return the value of a key in the store."""
         with self.store.lock:
             return base64.b64decode(self.store.data[key].value)
 
     def put(self, key: str, value) -> None:
-        """Write a key as the operator or an endpoint would."""
+        """Write a key to the store as the operator or an endpoint would."""
         body = value if isinstance(value, bytes) else msgspec.json.encode(value)
         row = {"key": key, "value": encoded(body)}
         assert self.store._commit({"puts": [row]}).status == 200
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key from the store."""
         assert self.store._commit({"remove": [key]}).status == 200
 
     def register(self, instance: str, pool: str, address: str, **fields) -> None:
-        """List an endpoint."""
+        """Register an endpoint in the store."""
         self.put(f"servers/{instance}", entry_fields(pool, address, **fields))
 
     def configure(
@@ -241,8 +254,9 @@
     ) -> None:
         """Write the configuration.
 
-        :param organisations: keys by name, none for a configuration that names nobody
-        :param pool: more fields of the callers' pool
+        :param organisations: API keys by name; None for a configuration without organisations
+        :param pool: more fields of the pool that serves calls
+        :param route: fields of the route for calls that replace the defaults
         """
         calls = {
             "name": "calls", "hostname": CALLS, "pathPrefix": "/", "kind": "safe",
@@ -266,12 +280,12 @@
             ]
         self.put("op/config", table)
 
-    def name_version(self, version: int) -> None:
-        """Name a version of the weights."""
+    def publish_version(self, version: int) -> None:
+        """Publish a version of the weights."""
         self.put("op/version/m", {"model": "m", "version": version})
 
     def lot(self, lot_id: str, samples: int = 6, min_version: int = 1) -> bytes:
-        """Return the body of a lot."""
+        """Return the body of a request that submits a lot."""
         rows = [
             {
                 "id": f"{lot_id}-s{number}", "path": f"/lots/{number}", "tokens": 100,
@@ -291,19 +305,22 @@
         return msgspec.json.encode(table)
 
     def hand_in(self, gateway: Box, lot_id: str, key: str = "", **lot) -> int:
-        """Hand a lot in and return the status."""
+        """Submit a lot and return the status code.
+
+        :param lot: arguments of ``lot``
+        """
         body = self.lot(lot_id, **lot)
-        named = {"X_Attempt_Id": lot_id, **bearer(key)}
-        return gateway.call("POST", f"/lots/{lot_id}", body=body, **named).status
+        headers = {"X_Attempt_Id": lot_id, **bearer(key)}
+        return gateway.call("POST", f"/lots/{lot_id}", body=body, **headers).status
 
     def results(self, gateway: Box, lot_id: str, after: int = 0, wait_ms: int = 0, key: str = ""):
-        """Return a page of results, none if there was no answer 200."""
+        """Return a page of results, or None if the status is not 200."""
         target = f"/threadramp/lots/{lot_id}?after={after}"
-        answer = gateway.call("GET", target, X_Wait_Ms=str(wait_ms), **bearer(key))
-        return msgspec.json.decode(answer.data) if answer.status == 200 else None
+        response = gateway.call("GET", target, X_Wait_Ms=str(wait_ms), **bearer(key))
+        return msgspec.json.decode(response.data) if response.status == 200 else None
 
     def whole(self, gateway: Box, lot_id: str, key: str = "") -> list[dict]:
-        """Wait until all results of a lot are listed and return them."""
+        """Wait until all results of a lot are listed, and return them."""
 
         found: list[dict] = []
 
@@ -314,4 +331,4 @@
             found.extend(page["results"])
             return found if len(found) == page["total"] else None
 
-        return wait_for(all_listed, f"{lot_id} whole at {gateway.name}")
+        return wait_for(all_listed, f"all results of {lot_id} at {gateway.name}")
--- a/tests/serve/lasting_faults.py
+++ b/tests/serve/lasting_faults.py
@@ -1,8 +1,9 @@
-"""The faults of a soak that last for seconds, beside those that come and go.
+"""The faults of a soak test that last for seconds and run beside the short ones.
 
-Each returns what heals it, after a time that is drawn for it. Some concern processes and their
-entries, others bytes; a soak goes through rows of both at once. One row begins with a sidecar that
-another box replaces, since that takes up most of a short soak.
+Each function causes a fault and returns a function that heals it, which the soak calls after a
+drawn time. Some faults affect processes and their entries in the store, others network traffic; a
+soak runs sequences of both kinds in parallel. One sequence starts with a sidecar that another box
+replaces, because a replacement takes up most of a short soak.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from tests.serve.faults import go_on
+from tests.serve.faults import resume_process
 from threadramp.config.registry import Registry
 from threadramp.platform.standins.stuttering import Moment, Second, Stutter
 
@@ -25,189 +26,194 @@
     from tests.serve.partitionable_proxy import PartitionableProxy
     from tests.serve.soak import Soak
 
-RIGHTS = "engine/"
-MEMBERS = "member/"
-# Shorter than an entry needs to lapse, or longer; the next holder waits for 5 s after 2 s.
-LENGTHS_S = ((0.2, 2.5), (2.5, 9.0))
-LOOK_S = 0.05
-LAPSE_S = 3.0  # after which the entry of a process that stands still goes by itself
-AS_NAMED_S = 0.4  # within which a sidecar begins to order what was named
-COMES_BACK_SHARE = 0.6  # of entries that were taken away
-REPLACED_SHARE = 0.7  # of the choices of a sidecar, while there are replaced ones
-STUMBLES = 6
-STUMBLE_S = (0.3, 1.3)  # each, and between two of them
-STUTTERING_SHARE = 0.5
-
-STANDING: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
-REPLACED: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
-STUMBLING: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
-PASSING: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
-
-
-def _stand_still(soak: Soak, box: Box) -> Callable[[], None]:
-    """Stop a process where it stands, and return what lets it go on."""
+LOCKS_PREFIX = "engine/"
+MEMBERS_PREFIX = "member/"
+# Shorter or longer than an entry takes to expire. It expires after 2 s, and the next holder of its
+# lock then waits for another 5 s.
+DURATIONS_S = ((0.2, 2.5), (2.5, 9.0))
+POLL_S = 0.05
+EXPIRY_S = 3.0  # after this time the entry of a suspended process expires by itself
+ORDER_DELAY_S = 0.4  # a sidecar starts to order a published version within this time
+RESTORED_SHARE = 0.6  # of the removed entries
+# Share of the choices of a sidecar that take a replaced one, while there are any.
+REPLACED_SHARE = 0.7
+SUSPENSIONS = 6
+SUSPENSION_S = (0.3, 1.3)  # of each suspension, and of the pause after it
+DUPLICATE_SHARE = 0.5  # of the responses that are sent twice
+
+PROCESS_FAULTS: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
+REPLACEMENT_FAULTS: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
+TAKEOVER_FAULTS: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
+NETWORK_FAULTS: Registry[Callable[[Soak, Random], Callable[[], None]]] = Registry()
+
+
+def _suspend(soak: Soak, box: Box) -> Callable[[], None]:
+    """Suspend a process with SIGSTOP and return what resumes it."""
     process = box.process
     process.send_signal(signal.SIGSTOP)
-    return lambda: go_on(soak, box, process)
+    return lambda: resume_process(soak, box, process)
 
 
-@STANDING.register("gateway stands still")
-def stop_gateway(soak: Soak, random: Random) -> Callable[[], None]:
-    return _stand_still(soak, random.choice(soak.fleet.gateways))
+@PROCESS_FAULTS.register("gateway suspended")
+def suspend_gateway(soak: Soak, random: Random) -> Callable[[], None]:
+    return _suspend(soak, random.choice(soak.fleet.gateways))
 
 
-@STANDING.register("sidecar stands still")
-def stop_sidecar(soak: Soak, random: Random) -> Callable[[], None]:
-    return _stand_still(soak, _some_sidecar(soak, random))
+@PROCESS_FAULTS.register("sidecar suspended")
+def suspend_sidecar(soak: Soak, random: Random) -> Callable[[], None]:
+    return _suspend(soak, _choose_sidecar(soak, random))
 
 
-@STANDING.register("sidecar stands still as a version is named")
-def stop_as_named(soak: Soak, random: Random) -> Callable[[], None]:
-    soak.name_version()
-    time.sleep(random.uniform(0.0, AS_NAMED_S))
-    return stop_sidecar(soak, random)
+@PROCESS_FAULTS.register("sidecar suspended as a version is published")
+def suspend_during_order(soak: Soak, random: Random) -> Callable[[], None]:
+    soak.publish_version()
+    time.sleep(random.uniform(0.0, ORDER_DELAY_S))
+    return suspend_sidecar(soak, random)
 
 
-@STANDING.register("sidecar stands still and its entry is gone")
-def stop_unlisted(soak: Soak, random: Random) -> Callable[[], None]:
-    """The entry goes a while later, and is back before the process goes on, or not."""
-    box = _some_sidecar(soak, random)
-    heal = _stand_still(soak, box)
-    soak.stopped.wait(random.uniform(0.0, LAPSE_S))
-    write_back = _take_entry(soak, box)
-    comes_back = random.random() < COMES_BACK_SHARE
+@PROCESS_FAULTS.register("sidecar suspended and its entry removed")
+def suspend_without_entry(soak: Soak, random: Random) -> Callable[[], None]:
+    """Remove its entry some time later; it may be restored just before the process resumes."""
+    box = _choose_sidecar(soak, random)
+    heal = _suspend(soak, box)
+    soak.stopped.wait(random.uniform(0.0, EXPIRY_S))
+    restore_entry = _remove_entry(soak, box)
+    is_restored = random.random() < RESTORED_SHARE
 
-    def goes_on() -> None:
-        if comes_back:
-            write_back()
+    def resume() -> None:
+        if is_restored:
+            restore_entry()
         heal()
 
-    return goes_on
+    return resume
 
 
-@STANDING.register("sidecar stands still until a gateway stands in")
-@REPLACED.register("sidecar stands still until a gateway stands in")
-def stop_until_replaced(soak: Soak, random: Random) -> Callable[[], None]:
-    """It goes on a while after a gateway took its right to order."""
-    heal = stop_unlisted(soak, random)
-    _wait(soak, lambda: _gateway_holds(soak))
+@PROCESS_FAULTS.register("sidecar suspended until a gateway takes over")
+@REPLACEMENT_FAULTS.register("sidecar suspended until a gateway takes over")
+def suspend_until_replaced(soak: Soak, random: Random) -> Callable[[], None]:
+    """Resume it some time after a gateway has taken over its engine lock."""
+    heal = suspend_without_entry(soak, random)
+    _wait(soak, lambda: _gateway_holds_lock(soak))
     return heal
 
 
-@STANDING.register("sidecar stands still until a gateway orders")
-@REPLACED.register("sidecar stands still until a gateway orders")
-def stop_until_ordered(soak: Soak, random: Random) -> Callable[[], None]:
-    """It goes on as soon as a gateway gave an order in its place."""
-    before = _orders_of_gateways(soak)
-    heal = stop_unlisted(soak, random)
-    _wait(soak, lambda: _orders_of_gateways(soak) > before)
+@PROCESS_FAULTS.register("sidecar suspended until a gateway orders")
+@REPLACEMENT_FAULTS.register("sidecar suspended until a gateway orders")
+def suspend_until_ordered(soak: Soak, random: Random) -> Callable[[], None]:
+    """Resume it as soon as a gateway has given an order in its place."""
+    before = _gateway_orders(soak)
+    heal = suspend_without_entry(soak, random)
+    _wait(soak, lambda: _gateway_orders(soak) > before)
     heal()
     return lambda: None
 
 
 def _wait(soak: Soak, condition: Callable[[], bool]) -> None:
-    """Wait for a condition, but not beyond the faults of a soak."""
-    while not soak.stopped.wait(LOOK_S) and not condition():
+    """Wait for a condition, at most until the soak ends its faults."""
+    while not soak.stopped.wait(POLL_S) and not condition():
         pass
 
 
-def _orders_of_gateways(soak: Soak) -> int:
+def _gateway_orders(soak: Soak) -> int:
     gateways = {box.name for box in soak.fleet.gateways}
     orders = [order for engine in soak.fleet.engines for order in engine.arrived]
     return sum(order["holder"] in gateways for order in orders)
 
 
-def _gateway_holds(soak: Soak) -> bool:
-    """Return whether a gateway holds the right to order an engine."""
-    holders = [_holder(soak, key) for key in soak.fleet.keys(RIGHTS)]
+def _gateway_holds_lock(soak: Soak) -> bool:
+    """Return whether a gateway holds the lock of an engine."""
+    holders = [_holder(soak, key) for key in soak.fleet.keys(LOCKS_PREFIX)]
     return any(holder in soak.fleet.gateways for holder in holders)
 
 
-@STANDING.register("holder stands still behind its proof")
-def stop_behind_proof(soak: Soak, random: Random) -> Callable[[], None]:
-    """Whoever reads that it holds a right to order is stopped before the answer reaches it."""
-    stopped: list[Callable[[], None]] = []
+@PROCESS_FAULTS.register("holder suspended after it verified its lock")
+def suspend_after_verification(soak: Soak, random: Random) -> Callable[[], None]:
+    """Suspend the first box that verifies an engine lock of its own, before it gets the response.
+
+    When it resumes, it acts on a verification that may no longer be true.
+    """
+    suspended: list[Callable[[], None]] = []
     lock = threading.Lock()
 
-    def read(key: str, answer: bytes) -> None:
-        if not key.startswith(RIGHTS):
+    def on_read(key: str, value: bytes) -> None:
+        if not key.startswith(LOCKS_PREFIX):
             return
         holder = _holder(soak, key)
         with lock:
-            if holder is not None and not stopped:
-                stopped.append(_stand_still(soak, holder))
+            if holder is not None and not suspended:
+                suspended.append(_suspend(soak, holder))
 
-    soak.gate.readers.append(read)
+    soak.store_interceptor.read_callbacks.append(on_read)
 
     def heal() -> None:
-        soak.gate.readers.remove(read)
+        soak.store_interceptor.read_callbacks.remove(on_read)
         with lock:
-            for goes_on in stopped:
-                goes_on()
+            for resume in suspended:
+                resume()
 
     return heal
 
 
-@STANDING.register("gateways begin without the list of members")
-def begin_without_members(soak: Soak, random: Random) -> Callable[[], None]:
-    """They hear of endpoints and take over what seems to have nobody."""
-    soak.gate.refused.append(MEMBERS)
+@PROCESS_FAULTS.register("gateways start without the member list")
+def start_without_members(soak: Soak, random: Random) -> Callable[[], None]:
+    """Gateways that know the endpoints but no members take over engines with no visible sidecar."""
+    soak.store_interceptor.refused_prefixes.append(MEMBERS_PREFIX)
     for box in random.sample(soak.fleet.gateways, random.randint(1, len(soak.fleet.gateways))):
-        with soak.restarting:
+        with soak.restart_lock:
             box.kill()
             box.start()
-    return lambda: soak.gate.refused.remove(MEMBERS)
-
-
-@REPLACED.register("gateways stand in for sidecars that stumble")
-@STUMBLING.register("gateways stand in for sidecars that stumble")
-def stand_in(soak: Soak, random: Random) -> Callable[[], None]:
-    """Gateways take rights of sidecars that live; these stand still for a moment, in turns."""
-    heal = begin_without_members(soak, random)
-    known = False
-    for _ in range(STUMBLES):
-        goes_on = stop_as_named(soak, random)
-        soak.stopped.wait(random.uniform(*STUMBLE_S))
-        goes_on()
-        if not known and _gateway_holds(soak):
-            known = True
+    return lambda: soak.store_interceptor.refused_prefixes.remove(MEMBERS_PREFIX)
+
+
+@REPLACEMENT_FAULTS.register("gateways take over from suspended sidecars")
+@TAKEOVER_FAULTS.register("gateways take over from suspended sidecars")
+def take_over_from_sidecars(soak: Soak, random: Random) -> Callable[[], None]:
+    """Gateways take over locks of running sidecars, which are suspended briefly, one at a time."""
+    heal = start_without_members(soak, random)
+    members_known = False
+    for _ in range(SUSPENSIONS):
+        resume = suspend_during_order(soak, random)
+        soak.stopped.wait(random.uniform(*SUSPENSION_S))
+        resume()
+        if not members_known and _gateway_holds_lock(soak):
+            members_known = True
             heal()
-        soak.stopped.wait(random.uniform(*STUMBLE_S))
-    return (lambda: None) if known else heal
+        soak.stopped.wait(random.uniform(*SUSPENSION_S))
+    return (lambda: None) if members_known else heal
 
 
-def _some_sidecar(soak: Soak, random: Random) -> Box:
-    """Return a sidecar, rather one whose engine a gateway has the right to order."""
+def _choose_sidecar(soak: Soak, random: Random) -> Box:
+    """Return a random sidecar, preferably one whose engine lock a gateway holds."""
     replaced = [
         box
         for box in soak.fleet.sidecars
-        if _holder(soak, RIGHTS + box.settings["app"]) in soak.fleet.gateways
+        if _holder(soak, LOCKS_PREFIX + box.settings["app"]) in soak.fleet.gateways
     ]
-    rather = replaced and random.random() < REPLACED_SHARE
-    return random.choice(replaced if rather else soak.fleet.sidecars)
+    prefer_replaced = replaced and random.random() < REPLACED_SHARE
+    return random.choice(replaced if prefer_replaced else soak.fleet.sidecars)
 
 
 def _holder(soak: Soak, key: str) -> Box | None:
-    """Return who holds a right by what the store has."""
-    with suppress(KeyError):  # nobody does
+    """Return the box that holds a lock according to the store."""
+    with suppress(KeyError):  # no box holds it
         value = soak.fleet.value(key)
         return next((box for box in soak.fleet.boxes if box.name.encode() in value), None)
     return None
 
 
-@STANDING.register("entries of sidecars lapse and come back")
-def entries_lapse(soak: Soak, random: Random) -> Callable[[], None]:
-    """Again and again, each for less than the pause between two questions of a gateway."""
+@PROCESS_FAULTS.register("entries of sidecars expire and come back")
+def expire_entries(soak: Soak, random: Random) -> Callable[[], None]:
+    """Remove entries repeatedly, each for less than the interval between two polls of a gateway."""
     healed = threading.Event()
 
-    def lapse() -> None:
+    def expire() -> None:
         while not healed.wait(random.uniform(0.1, 1.0)):
-            write_back = _take_entry(soak, random.choice(soak.fleet.sidecars))
+            restore_entry = _remove_entry(soak, random.choice(soak.fleet.sidecars))
             time.sleep(random.uniform(0.02, 0.45))
-            if random.random() < COMES_BACK_SHARE:
-                write_back()
+            if random.random() < RESTORED_SHARE:
+                restore_entry()
 
-    thread = threading.Thread(target=lapse, daemon=True)
+    thread = threading.Thread(target=expire, daemon=True)
     thread.start()
 
     def heal() -> None:
@@ -217,10 +223,10 @@
     return heal
 
 
-def _take_entry(soak: Soak, box: Box) -> Callable[[], None]:
-    """Take a member out of the list and return what writes it back, if nobody else has."""
+def _remove_entry(soak: Soak, box: Box) -> Callable[[], None]:
+    """Remove a member entry; return what restores it unless it has been written meanwhile."""
     store = soak.fleet.store
-    key = MEMBERS + box.name
+    key = MEMBERS_PREFIX + box.name
     with store.changed:
         held = store.data.get(key)
         if held is None:
@@ -230,45 +236,51 @@
     return lambda: store._commit({"expected": [{"key": key, "rev": 0}], "puts": [row]})
 
 
-@PASSING.register("bytes to engines lie in a cut")
-def cut_engine_ways(soak: Soak, random: Random) -> Callable[[], None]:
-    return _cut(random, soak.engine_ways)
+@NETWORK_FAULTS.register("engine traffic partitioned")
+def partition_engine_traffic(soak: Soak, random: Random) -> Callable[[], None]:
+    return _partition(random, soak.engine_proxies)
 
 
-@PASSING.register("bytes to the store lie in a cut")
-def cut_store_ways(soak: Soak, random: Random) -> Callable[[], None]:
-    return _cut(random, soak.ways)
+@NETWORK_FAULTS.register("store traffic partitioned")
+def partition_store_traffic(soak: Soak, random: Random) -> Callable[[], None]:
+    return _partition(random, soak.store_proxies)
 
 
-@PASSING.register("bytes to all lie in a cut")
-def cut_all_ways(soak: Soak, random: Random) -> Callable[[], None]:
-    return _cut(random, [*soak.engine_ways, *soak.ways])
+@NETWORK_FAULTS.register("all traffic partitioned")
+def partition_all_traffic(soak: Soak, random: Random) -> Callable[[], None]:
+    return _partition(random, [*soak.engine_proxies, *soak.store_proxies])
 
 
-def _cut(random: Random, ways: list[PartitionableProxy]) -> Callable[[], None]:
-    """Cut some ways, on all connections or on some; new ones may work."""
-    cut = random.sample(ways, random.randint(1, len(ways)))
+def _partition(random: Random, proxies: list[PartitionableProxy]) -> Callable[[], None]:
+    """Partition some proxies, on all connections or on some; new connections may work."""
+    partitioned = random.sample(proxies, random.randint(1, len(proxies)))
     share = random.choice((0.5, 1.0))
-    share_of_new = random.choice((0.0, 0.5, 1.0))
-    for way in cut:
-        way.partition(share, share_of_new, random)
-    return lambda: [way.heal() for way in cut]
+    new_share = random.choice((0.0, 0.5, 1.0))
+    for proxy in partitioned:
+        proxy.partition(share, new_share, random)
+    return lambda: [proxy.heal() for proxy in partitioned]
 
 
-@PASSING.register("endpoints stutter")
-def stutter(soak: Soak, random: Random) -> Callable[[], None]:
-    """Each endpoint in a way of its own."""
-    for front in soak.fronts:
+@NETWORK_FAULTS.register("stuttering endpoints (duplicate responses)")
+def send_duplicate_responses(soak: Soak, random: Random) -> Callable[[], None]:
+    """Let each endpoint send duplicate responses, of a kind and at a moment drawn for it."""
+    for proxy in soak.duplicating_proxies:
         second = random.choice(list(Second))
         moment = random.choice(list(Moment))
-        front.stutter = Stutter(second, moment, STUTTERING_SHARE)
-        soak.stuttered.append((second, moment))
+        proxy.stutter = Stutter(second, moment, DUPLICATE_SHARE)
+        soak.duplicates_drawn.append((second, moment))
 
     def heal() -> None:
-        for front in soak.fronts:
-            front.stutter = None
+        for proxy in soak.duplicating_proxies:
+            proxy.stutter = None
 
     return heal
 
 
-__all__ = ["LENGTHS_S", "PASSING", "REPLACED", "STANDING", "STUMBLING"]
+__all__ = [
+    "DURATIONS_S",
+    "NETWORK_FAULTS",
+    "PROCESS_FAULTS",
+    "REPLACEMENT_FAULTS",
+    "TAKEOVER_FAULTS",
+]
--- a/tests/serve/orders.py
+++ b/tests/serve/orders.py
@@ -1,51 +1,63 @@
-"""What must hold of the orders that one engine got, by the rule itself."""
+"""Checks the rules for the orders that one engine receives from the holders of its lock."""
 
 from __future__ import annotations
 
 from itertools import pairwise
 from typing import Any
 
-APART_S = 3.0  # holders may not give orders in turns within this time
+# A holder may not order again within this time if another holder ordered in between.
+MIN_ALTERNATION_S = 3.0
 
 
-def broken_by(arrived: list[dict[str, Any]], apart_s: float = APART_S) -> list[str]:
-    """Return what the orders of one engine break.
+def order_violations(
+    arrived: list[dict[str, Any]], min_alternation_s: float = MIN_ALTERNATION_S
+) -> list[str]:
+    """Return the violations in the orders of one engine.
 
-    :param arrived: all orders in the order of their arrival, refused ones included
-    :param apart_s: holders may not give orders in turns within this time
+    :param arrived: all orders by arrival, including refused ones
+    :param min_alternation_s: time within which a holder may not order again after another holder
     """
-    return [*_numbers(arrived), *_turns(arrived, apart_s)]
+    return [*_token_violations(arrived), *_alternating_holders(arrived, min_alternation_s)]
 
 
-def _numbers(arrived: list[dict[str, Any]]) -> list[str]:
+def _token_violations(arrived: list[dict[str, Any]]) -> list[str]:
     found = []
     for before, after in pairwise(arrived):
         if after["fence"] < before["fence"]:
-            found.append(f"a lower number after a higher one: {_told(before)}, then {_told(after)}")
+            found.append(
+                f"lower fencing token after a higher one: {_describe(before)},"
+                f" then {_describe(after)}"
+            )
         if after["fence"] == before["fence"] and after["holder"] != before["holder"]:
-            found.append(f"two holders of one number: {_told(before)}, then {_told(after)}")
+            found.append(
+                f"two holders with the same fencing token: {_describe(before)},"
+                f" then {_describe(after)}"
+            )
     return found
 
 
-def _turns(arrived: list[dict[str, Any]], apart_s: float) -> list[str]:
-    """Return where a holder orders again within the time in which another one did."""
+def _alternating_holders(arrived: list[dict[str, Any]], min_alternation_s: float) -> list[str]:
+    """Return where a holder ordered again too soon after another holder's order."""
     found = []
     last: dict[str, dict[str, Any]] = {}
-    for place, order in enumerate(arrived):
-        mine = last.get(order["holder"])
-        others = [one for one in arrived[:place] if one["holder"] != order["holder"]]
-        between = mine is not None and others and others[-1]["at"] > mine["at"]
-        if between and order["at"] - mine["at"] < apart_s:
-            found.append(f"in turns: {_told(mine)}, {_told(others[-1])}, {_told(order)}")
+    for index, order in enumerate(arrived):
+        previous = last.get(order["holder"])
+        others = [each for each in arrived[:index] if each["holder"] != order["holder"]]
+        between = previous is not None and others and others[-1]["at"] > previous["at"]
+        if between and order["at"] - previous["at"] < min_alternation_s:
+            found.append(
+                f"alternating holders: {_describe(previous)}, {_describe(others[-1])},"
+                f" {_describe(order)}"
+            )
         last[order["holder"]] = order
     return found
 
 
-def _told(order: dict[str, Any]) -> str:
+def _describe(order: dict[str, Any]) -> str:
     return (
-        f"{order['holder']} number {order['fence']} version {order['version']}"
+        f"{order['holder']} fencing token {order['fence']} version {order['version']}"
         f" at {order['at']:.2f} ({order['status']})"
     )
 
 
-__all__ = ["APART_S", "broken_by"]
+__all__ = ["MIN_ALTERNATION_S", "order_violations"]
--- a/tests/serve/partitionable_proxy.py
+++ b/tests/serve/partitionable_proxy.py
@@ -1,8 +1,8 @@
-"""A way on which bytes lie while it is cut, and come late.
+"""A TCP proxy that simulates a network partition, after which delayed bytes still arrive.
 
-What is sent meanwhile lies at its sender, whose kernel sends it again at pauses that double. So it
-comes some time after the mend, also if its sender has closed the connection by then; of a
-connection that was reset nothing comes any more.
+Bytes sent during a partition stay in the sender's kernel, which retransmits them with exponential
+backoff. They therefore arrive some time after the partition heals, even if the sender has closed
+the connection by then; nothing arrives on a connection that was reset.
 """
 
 from __future__ import annotations
@@ -17,51 +17,51 @@
 if TYPE_CHECKING:
     import socket
 
-FIRST_REPEAT_S = 0.2  # after this the kernel sends once more, then after twice as long each time
+FIRST_RETRANSMISSION_S = 0.2  # the kernel doubles this timeout after each retransmission
 
 
 class PartitionableProxy(TcpProxy):
-    """A way of which some connections can be cut, each in one direction or in both."""
+    """A proxy that can partition some connections, each in one or both directions."""
 
     def __init__(self, target: str) -> None:
         super().__init__(target)
         self.changed = threading.Condition()
         self.random = Random()
-        self.share_of_new = 0.0
-        self.is_cut = False
+        self.new_share = 0.0
+        self.is_partitioned = False
         self.known: set[socket.socket] = set()
         self.held: set[socket.socket] = set()
         self.healed_at: list[float] = []
 
-    def partition(self, share: float, share_of_new: float, random: Random) -> None:
-        """Keep back what is sent, until the way is mended.
+    def partition(self, share: float, new_share: float, random: Random) -> None:
+        """Hold what is sent on some connections until ``heal``.
 
-        :param share: of what is open, each direction by itself
-        :param share_of_new: of what is opened meanwhile
+        :param share: of the open connections that is held, drawn for each direction
+        :param new_share: of the connections opened during the partition that is held
         """
         with self.changed:
             self.random = random
-            self.share_of_new = share_of_new
+            self.new_share = new_share
             self.known = set(self.sockets)
-            self.held = {one for one in self.known if random.random() < share}
-            self.is_cut = True
+            self.held = {end for end in self.known if random.random() < share}
+            self.is_partitioned = True
 
     def heal(self) -> None:
-        """Let come what was kept back, each piece when its kernel sends it again."""
+        """End the partition; each held chunk is forwarded at its next retransmission."""
         with self.changed:
-            if self.is_cut:
+            if self.is_partitioned:
                 self.healed_at.append(time.monotonic())
-            self.is_cut = False
+            self.is_partitioned = False
             self.held.clear()
             self.changed.notify_all()
 
     def close(self) -> None:
-        """End it."""
+        """Heal the partition, reset all connections and stop listening."""
         self.heal()
         super().close()
 
-    def _wait_while_held(self, source: socket.socket, piece: bytes) -> None:
-        super()._wait_while_held(source, piece)
+    def _wait_while_held(self, source: socket.socket, chunk: bytes) -> None:
+        super()._wait_while_held(source, chunk)
         since = time.monotonic()
         with self.changed:
             if not self._is_held(source):
@@ -72,20 +72,23 @@
         raise_if_reset(source)
 
     def _is_held(self, source: socket.socket) -> bool:
-        if self.is_cut and source not in self.known:
+        if self.is_partitioned and source not in self.known:
             self.known.add(source)
-            if self.random.random() < self.share_of_new:
+            if self.random.random() < self.new_share:
                 self.held.add(source)
         return source in self.held
 
 
 def retransmission_delay_s(held_s: float) -> float:
-    """Return after how long the kernel sends again what it could not for a time."""
-    pause_s = after_s = FIRST_REPEAT_S
-    while after_s < held_s:
-        pause_s *= 2
-        after_s += pause_s
-    return after_s
+    """Return when the kernel first retransmits after a partition, counted from the first send.
+
+    :param held_s: how long the bytes could not be delivered
+    """
+    timeout_s = delay_s = FIRST_RETRANSMISSION_S
+    while delay_s < held_s:
+        timeout_s *= 2
+        delay_s += timeout_s
+    return delay_s
 
 
 __all__ = ["PartitionableProxy", "retransmission_delay_s"]
--- a/tests/serve/shifted.py
+++ b/tests/serve/shifted.py
@@ -1,7 +1,7 @@
-"""Starts a process of ours on a box whose time of day is off: ``shifted.py FILE ROLE``.
+"""Starts a role with an offset wall clock: ``shifted.py FILE ROLE``.
 
-FILE holds the seconds by which the time of day is ahead; it is read at each look at the clock, so
-that the time of day jumps when it is written. The steady clock is as it is.
+FILE holds the seconds by which the wall clock is ahead. It is read at each query of the clock, so
+that the wall clock jumps when the file is written. The monotonic clock is not changed.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def main() -> None:
-    """Let the time of day be ahead by what the file says, and start the role."""
-    ahead = Path(sys.argv[1])
+    """Offset the wall clock by the seconds in the file, and start the role."""
+    offset_file = Path(sys.argv[1])
     true_time = time.time
-    time.time = lambda: true_time() + float(ahead.read_text(encoding="utf-8"))
+    time.time = lambda: true_time() + float(offset_file.read_text(encoding="utf-8"))
     sys.argv = [str(START), sys.argv[2]]
     runpy.run_path(str(START), run_name="__main__")
 
--- a/tests/serve/soak.py
+++ b/tests/serve/soak.py
@@ -1,8 +1,9 @@
-"""A soak under faults: lots, reads and calls go on while processes, ways and the store fail.
+"""A soak test: lots, reads and calls continue while processes, the network and the store fail.
 
-Faults are drawn from a registry by a seed, one or two at a time, and others that last for seconds
-beside them. What must hold is checked as it is seen (a position never changes, an answer is one's
-own) and once all is healed (lots are whole, orders came from one holder after the other).
+A seed draws short faults from a registry, one or two at a time, and beside them faults that last
+for seconds. Some properties are checked during the soak (the result at a position never changes,
+a response belongs to its request), others once all faults are healed (lots are complete, orders
+came from one holder after the other).
 """
 
 from __future__ import annotations
@@ -19,15 +20,21 @@
 
 from tests.serve import shifted
 from tests.serve.crashing_pool import CrashingPool
-from tests.serve.faults import FAULTS
+from tests.serve.duplicating_proxies import serve_behind_duplicating_proxy
+from tests.serve.faults import SHORT_FAULTS
 from tests.serve.fleet import CALLS, HOST, PlatformFleet, is_engine
-from tests.serve.keys_in_turn import STEADY_KEY, OrganisationKeysInTurn
-from tests.serve.lasting_faults import LENGTHS_S, PASSING, REPLACED, STANDING, STUMBLING
+from tests.serve.lasting_faults import (
+    DURATIONS_S,
+    NETWORK_FAULTS,
+    PROCESS_FAULTS,
+    REPLACEMENT_FAULTS,
+    TAKEOVER_FAULTS,
+)
 from tests.serve.order_watch import OrderWatch
 from tests.serve.partitionable_proxy import PartitionableProxy
-from tests.serve.soak_checks import EVENTS, SAMPLES, broken
-from tests.serve.store_gate import StoreGate
-from tests.serve.stuttering_fronts import serve_stuttering
+from tests.serve.rotating_keys import STABLE_KEY, RotatingKeys
+from tests.serve.soak_checks import EVENTS, SAMPLES, find_violations
+from tests.serve.store_interceptor import StoreInterceptor
 from tests.serve.tcp_proxy import proxy_store, serve_behind_proxy
 from threadramp.platform.standins.crashing import FrontProxy, WhileDown
 
@@ -40,81 +47,87 @@
     from threadramp.platform.standins.stuttering import Moment, Second, StutteringFront
     from threadramp.standins.server import StandIn
 
-GAP_S = 0.04
-LOT_EACH_S = 0.7
-VERSION_EACH_S = 2.0
-FAULT_EACH_S = 1.2
+EVENT_INTERVAL_S = 0.04
+LOT_INTERVAL_S = 0.7
+VERSION_INTERVAL_S = 2.0
+FAULT_DURATION_S = 1.2
 DEADLINE_MS = "6000"
-CRASHING = 3  # endpoints for callers that crash under some requests
-# Before those endpoints; a seed draws one of them.
-FRONTS = [None, FrontProxy(), *(FrontProxy(down, new_ids=True) for down in WhileDown)]
-APART_S = (1.0, 3.0)  # in turns; holders of a right may not act in turns within this time
-AHEAD_MOST_S = 3.0  # of a box's time of day, or behind
-AHEAD_SHARE = 0.5  # of the boxes
-REST_MOST_S = 0.5  # between two faults that last
-LAST_VERSIONS = 2  # that are named once all is healed, for who holds a right to act by it
-LAST_EACH_S = 1.2
+CRASHING_ENDPOINTS = 3  # endpoints for calls, which crash when they get certain requests
+# Reverse proxies in front of those endpoints, or none; a seed draws one.
+REVERSE_PROXIES = [None, FrontProxy(), *(FrontProxy(down, new_ids=True) for down in WhileDown)]
+# Lease times of the boxes; seeds take them in turn. A holder of a lock may not act again within
+# this time if another holder acted in between.
+MIN_ALTERNATIONS_S = (1.0, 3.0)
+MAX_CLOCK_OFFSET_S = 3.0  # of the wall clock of a box, ahead or behind
+CLOCK_OFFSET_SHARE = 0.5  # of the boxes
+MAX_PAUSE_S = 0.5  # between two lasting faults
+FINAL_VERSIONS = 2  # published after the faults are healed, so that the holders of locks act
+FINAL_VERSION_INTERVAL_S = 1.2
 WINDOW_S = 2.0
 
 
 class Soak:
-    """One soak; ``run`` returns what was broken, empty if nothing was."""
+    """One soak test of a fleet; ``run`` returns the violations found."""
 
     def __init__(self, folder: Path, serve: Callable[[StandIn], str], seed: int) -> None:
         self.seed = seed
         self.random = Random(seed)
-        self.engine_ways: list[PartitionableProxy] = []
-        self.fronts: list[StutteringFront] = []
-        stuttering = serve_stuttering(serve, self.fronts, seed)
-        behind = serve_behind_proxy(stuttering, self.engine_ways, is_engine, PartitionableProxy)
-        self.fleet = PlatformFleet(folder, behind, gateways=3, engines=3, window_s=WINDOW_S)
-        self.ahead: dict[str, float] = {}
-        self.apart_s = APART_S[seed % len(APART_S)]
+        self.engine_proxies: list[PartitionableProxy] = []
+        self.duplicating_proxies: list[StutteringFront] = []
+        serve_duplicating = serve_behind_duplicating_proxy(serve, self.duplicating_proxies, seed)
+        serve_proxied = serve_behind_proxy(
+            serve_duplicating, self.engine_proxies, is_engine, PartitionableProxy
+        )
+        self.fleet = PlatformFleet(folder, serve_proxied, gateways=3, engines=3, window_s=WINDOW_S)
+        self.clock_offsets: dict[str, float] = {}
+        self.min_alternation_s = MIN_ALTERNATIONS_S[seed % len(MIN_ALTERNATIONS_S)]
         for box in self.fleet.boxes:
-            box.settings["bounds"]["leaseTtlMs"] = int(self.apart_s * 1000)
-            if self.random.random() < AHEAD_SHARE:
-                self._shift(box, folder)
-        self.gate = StoreGate(self.fleet.store)
-        self.keys = OrganisationKeysInTurn(self.fleet)
+            box.settings["bounds"]["leaseTtlMs"] = int(self.min_alternation_s * 1000)
+            if self.random.random() < CLOCK_OFFSET_SHARE:
+                self._offset_clock(box, folder)
+        self.store_interceptor = StoreInterceptor(self.fleet.store)
+        self.keys = RotatingKeys(self.fleet)
         for gateway in self.fleet.gateways:
-            gateway.key = STEADY_KEY
-        self.ways = [
+            gateway.key = STABLE_KEY
+        self.store_proxies = [
             proxy_store(box, self.fleet.store_address, PartitionableProxy)
             for box in self.fleet.boxes
         ]
         for engine in self.fleet.engines:
-            engine.faults.update(events=EVENTS, gap_s=GAP_S, marked=True)
-        self.thawed: dict[str, list[float]] = defaultdict(list)
+            engine.faults.update(events=EVENTS, gap_s=EVENT_INTERVAL_S, marked=True)
+        self.resumed_at: dict[str, list[float]] = defaultdict(list)
         self.orders = OrderWatch(
-            self.fleet.engines, self.thawed.__getitem__, self._mended, self.apart_s
+            self.fleet.engines, self.resumed_at.__getitem__, self._healed_at, self.min_alternation_s
+        )
+        self.duplicates_drawn: list[tuple[Second, Moment]] = []
+        self.reverse_proxy = Random(f"front {seed}").choice(REVERSE_PROXIES)
+        self.pool = CrashingPool(
+            self.fleet, "calls", "c", CRASHING_ENDPOINTS, front=self.reverse_proxy
         )
-        self.stuttered: list[tuple[Second, Moment]] = []
-        self.front = Random(f"front {seed}").choice(FRONTS)
-        self.pool = CrashingPool(self.fleet, "calls", "c", CRASHING, front=self.front)
-        self.crashers: set[str] = set()
+        self.crashing_targets: set[str] = set()
         self.version = 1
-        self.naming = threading.Lock()
-        self.restarting = threading.Lock()
-        self.taken: dict[str, int] = {}
-        self.refused: set[str] = set()
-        self.seen: dict[str, dict[int, dict]] = defaultdict(dict)
-        self.calls_not_run: set[str] = set()
+        self.publish_lock = threading.Lock()
+        self.restart_lock = threading.Lock()
+        self.accepted: dict[str, int] = {}
+        self.refused_lots: set[str] = set()
+        self.results_seen: dict[str, dict[int, dict]] = defaultdict(dict)
+        self.refused_calls: set[str] = set()
         self.answered = 0
-        self.broken: list[str] = []
-        self.done: list[str] = []
+        self.violations: list[str] = []
+        self.faults_drawn: list[str] = []
         self.stopped = threading.Event()
 
     def run(self, seconds: float) -> list[str]:
-        """Let it go on under faults for a while, heal all, and check what must hold."""
+        """Run under faults for a time, heal them all, and return the violations found."""
         self.fleet.start()
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         loops = [
-            self._hand_in_lots,
+            self._submit_lots,
             self._read_lots,
             self._call,
-            self._name_versions,
-            lambda: self.keys.turn_until(self.stopped),
-            *self._rows_of_faults(until),
+            self._publish_versions,
+            lambda: self.keys.rotate_until(self.stopped),
+            *self._fault_loops(deadline),
         ]
         threads = [
             threading.Thread(target=self._guarded, args=(loop,), daemon=True) for loop in loops
@@ -125,125 +138,141 @@
         self.stopped.set()
         for thread in threads:
             thread.join()
-        self._name_last_versions()
-        found = broken(self)  # which notes more of its own
-        return self.broken + found
+        self._publish_final_versions()
+        found = find_violations(self)  # also adds to self.violations
+        return self.violations + found
 
     def close(self) -> None:
-        """End all processes and ways."""
+        """End all processes and close all proxies."""
         self.fleet.close()
         self.pool.close()
-        for way in (*self.ways, *self.engine_ways, *self.fronts):
-            way.close()
+        for proxy in (*self.store_proxies, *self.engine_proxies, *self.duplicating_proxies):
+            proxy.close()
 
-    def told(self) -> str:
-        """Return what was done and seen, for whoever reads a failure."""
-        seconds = [len(front.seconds) for front in self.fronts]
+    def summary(self) -> str:
+        """Return the faults drawn and what was observed, to explain a failure."""
+        duplicates = [len(proxy.seconds) for proxy in self.duplicating_proxies]
         arrived = {
-            one.instance: [f"{order['holder']} {order['fence']}" for order in one.arrived]
-            for one in self.fleet.engines
+            engine.instance: [f"{order['holder']} {order['fence']}" for order in engine.arrived]
+            for engine in self.fleet.engines
         }
         return (
-            f"faults {self.done}, crashing behind {self.front}, stuttered {self.stuttered},"
-            f" answers given twice {seconds},"
-            f" orders {arrived}, ahead by {self.ahead}, lots {len(self.taken)},"
-            f" calls {self.answered}"
+            f"faults {self.faults_drawn}, reverse proxy of crashing endpoints {self.reverse_proxy},"
+            f" kinds of duplicate responses {self.duplicates_drawn},"
+            f" duplicate responses {duplicates},"
+            f" orders by holder and fencing token {arrived},"
+            f" clock offsets {self.clock_offsets}, accepted lots {len(self.accepted)},"
+            f" answered calls {self.answered}"
         )
 
-    def name_version(self) -> None:
-        """Name the next version, and look at the orders up to then."""
-        with self.naming:
+    def publish_version(self) -> None:
+        """Publish the next version, and check the orders that arrived so far."""
+        with self.publish_lock:
             self.version += 1
-            self.fleet.name_version(self.version)
-        self.orders.look()
-
-    def _name_last_versions(self) -> None:
-        for _ in range(LAST_VERSIONS):
-            self.name_version()
-            time.sleep(LAST_EACH_S)
-
-    def _shift(self, box: Box, folder: Path) -> None:
-        """Let the time of day of a box be ahead or behind by a drawn time."""
-        self.ahead[box.name] = round(self.random.uniform(-AHEAD_MOST_S, AHEAD_MOST_S), 2)
+            self.fleet.publish_version(self.version)
+        self.orders.check()
+
+    def _publish_final_versions(self) -> None:
+        for _ in range(FINAL_VERSIONS):
+            self.publish_version()
+            time.sleep(FINAL_VERSION_INTERVAL_S)
+
+    def _offset_clock(self, box: Box, folder: Path) -> None:
+        """Let the wall clock of a box be ahead or behind by a drawn time."""
+        self.clock_offsets[box.name] = round(
+            self.random.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S), 2
+        )
         file = folder / f"{box.name}.ahead"
-        file.write_text(str(self.ahead[box.name]), encoding="utf-8")
+        file.write_text(str(self.clock_offsets[box.name]), encoding="utf-8")
         box.command = [shifted.__file__, str(file)]
 
-    def _mended(self, engine: str) -> list[float]:
-        """Return when the way to an engine was mended."""
-        number = [one.instance for one in self.fleet.engines].index(engine)
-        return self.engine_ways[number].healed_at
+    def _healed_at(self, engine: str) -> list[float]:
+        """Return when partitions of the proxy before an engine healed."""
+        number = [each.instance for each in self.fleet.engines].index(engine)
+        return self.engine_proxies[number].healed_at
 
     def _guarded(self, loop: Callable[[], None]) -> None:
-        """Run a loop; one that ends by an error breaks the soak, whatever was not done then."""
+        """Run a loop; an exception in it is a violation, since part of the soak did not run."""
         try:
             loop()
         except Exception as error:
-            self.broken.append(f"{loop}: {error!r}")
+            self.violations.append(f"{loop} failed: {error!r}")
 
-    def _rows_of_faults(self, until: float) -> list[Callable[[], None]]:
-        """Return what brings the faults; soaks of three kinds take turns.
+    def _fault_loops(self, deadline: float) -> list[Callable[[], None]]:
+        """Return the loops that cause faults; the seed chooses one of three kinds of soak.
 
-        In a calm one, hand-overs run their course. One has faults of bytes beside the short ones,
-        so that gateways seldom lose what they know. One has all at once.
+        The calm kind lets takeovers complete. One kind has network faults beside the short faults,
+        so that gateways seldom lose their state. One kind has all faults at once.
+
+        The names of the sequences seed their random generators.
         """
-        rows = {"calm": STUMBLING, "replaced": REPLACED, "standing": STANDING, "bytes": PASSING}
+        sequences = {
+            "calm": TAKEOVER_FAULTS,
+            "replaced": REPLACEMENT_FAULTS,
+            "standing": PROCESS_FAULTS,
+            "bytes": NETWORK_FAULTS,
+        }
         lasting = {
-            row: partial(self._bring_lasting_faults, row, faults, until)
-            for row, faults in rows.items()
+            name: partial(self._cause_lasting_faults, name, faults, deadline)
+            for name, faults in sequences.items()
         }
-        bytes_and_short = [lasting["bytes"], partial(self._bring_faults, until)]
+        network_and_short = [lasting["bytes"], partial(self._cause_short_faults, deadline)]
         kinds = (
             [lasting["calm"]],
-            [lasting["replaced"], lasting["standing"], *bytes_and_short],
-            bytes_and_short,
+            [lasting["replaced"], lasting["standing"], *network_and_short],
+            network_and_short,
         )
         return kinds[self.seed % len(kinds)]
 
-    def _bring_faults(self, until: float) -> None:
-        while time.monotonic() < until:
-            names = self.random.sample(sorted(FAULTS), self.random.choice((1, 2)))
-            self.done += names
-            heals = [FAULTS[name](self) for name in names]
-            time.sleep(FAULT_EACH_S)
+    def _cause_short_faults(self, deadline: float) -> None:
+        while time.monotonic() < deadline:
+            names = self.random.sample(sorted(SHORT_FAULTS), self.random.choice((1, 2)))
+            self.faults_drawn += names
+            heals = [SHORT_FAULTS[name](self) for name in names]
+            time.sleep(FAULT_DURATION_S)
             for heal in heals:
                 heal()
-            time.sleep(self.random.uniform(0.2, FAULT_EACH_S))
+            time.sleep(self.random.uniform(0.2, FAULT_DURATION_S))
 
-    def _bring_lasting_faults(self, row: str, faults: Registry, until: float) -> None:
-        """Bring faults one after the other; a row begins with those that are given."""
-        random = Random(f"{self.seed} {row}")
-        while time.monotonic() < until:
+    def _cause_lasting_faults(self, sequence: str, faults: Registry, deadline: float) -> None:
+        """Cause lasting faults one after the other, drawn from a registry.
+
+        Replacement faults come first only: process faults follow them.
+        """
+        random = Random(f"{self.seed} {sequence}")
+        while time.monotonic() < deadline:
             name = random.choice(sorted(faults))
-            self.done.append(name)
+            self.faults_drawn.append(name)
             heal = faults[name](self, random)
-            lasts_s = min(random.uniform(*random.choice(LENGTHS_S)), until - time.monotonic())
-            self.stopped.wait(max(0.0, lasts_s))
+            duration_s = min(
+                random.uniform(*random.choice(DURATIONS_S)), deadline - time.monotonic()
+            )
+            self.stopped.wait(max(0.0, duration_s))
             heal()
-            self.stopped.wait(random.uniform(0.0, REST_MOST_S))
-            faults = STANDING if faults is REPLACED else faults
+            self.stopped.wait(random.uniform(0.0, MAX_PAUSE_S))
+            faults = PROCESS_FAULTS if faults is REPLACEMENT_FAULTS else faults
 
-    def _hand_in_lots(self) -> None:
+    def _submit_lots(self) -> None:
         for number in range(10_000):
-            if self.stopped.wait(LOT_EACH_S):
+            if self.stopped.wait(LOT_INTERVAL_S):
                 return
-            self._hand_in(f"lot{number}")
+            self._submit(f"lot{number}")
 
-    def _hand_in(self, lot: str) -> None:
-        """Hand a lot in as a trainer does: at another gateway after anything but 202."""
-        least = max(1, self.version - 1)
+    def _submit(self, lot: str) -> None:
+        """Submit a lot as a trainer does: retry at a random gateway after any status but 202."""
+        min_version = max(1, self.version - 1)
         statuses = []
         for _ in range(3):
-            statuses.append(self._post(lot, least))
+            statuses.append(self._post(lot, min_version))
             if statuses[-1] == 202:
-                self.taken[lot] = least
+                self.accepted[lot] = min_version
                 return
         if set(statuses) <= {429, 503}:
-            self.refused.add(lot)
+            self.refused_lots.add(lot)
 
-    def _post(self, lot: str, least: int) -> int:
+    def _post(self, lot: str, min_version: int) -> int:
         gateway = self.random.choice(self.fleet.gateways)
-        body = self.fleet.lot(lot, samples=SAMPLES, min_version=least)
+        body = self.fleet.lot(lot, samples=SAMPLES, min_version=min_version)
         with suppress(HTTPError, OSError):
             return gateway.call(
                 "POST", f"/lots/{lot}", body=body, X_Attempt_Id=lot, X_Deadline_Ms=DEADLINE_MS
@@ -252,8 +281,8 @@
 
     def _read_lots(self) -> None:
         while not self.stopped.wait(0.05):
-            if self.taken:
-                lot = self.random.choice(list(self.taken))
+            if self.accepted:
+                lot = self.random.choice(list(self.accepted))
                 self._read(lot, self.random.randrange(SAMPLES))
 
     def _read(self, lot: str, after: int) -> None:
@@ -262,16 +291,18 @@
         with suppress(HTTPError, OSError):
             status = gateway.call("GET", target, host=HOST, timeout_s=3.0).status
             if status not in (200, 503):
-                self.broken.append(f"{lot} at {gateway.name}: status {status}")
+                self.violations.append(f"{lot}: unexpected status {status} at {gateway.name}")
             page = self.fleet.results(gateway, lot, after=after)
-            for place, row in enumerate(page["results"] if page else (), start=after):
-                self.note(lot, place, row)
+            for position, row in enumerate(page["results"] if page else (), start=after):
+                self.record_result(lot, position, row)
 
-    def note(self, lot: str, place: int, row: dict) -> None:
-        """Compare a position with what it held before."""
-        before = self.seen[lot].setdefault(place, row)
+    def record_result(self, lot: str, position: int, row: dict) -> None:
+        """Record the result at a position; a change of it is a violation."""
+        before = self.results_seen[lot].setdefault(position, row)
         if before != row:
-            self.broken.append(f"{lot} position {place}: {before['id']} became {row['id']}")
+            self.violations.append(
+                f"{lot} position {position}: result {before['id']} changed to {row['id']}"
+            )
 
     def _call(self) -> None:
         for number in range(100_000):
@@ -280,25 +311,25 @@
             name = f"call{number}"
             gateway = self.random.choice(self.fleet.gateways)
             with suppress(HTTPError, OSError):
-                answer = gateway.call(
+                response = gateway.call(
                     "POST", "/x", host=CALLS, body=b"q", X_Attempt_Id=name, **self.keys.header(name)
                 )
-                self._note_answer(name, answer.status, answer.data)
+                self._check_response(name, response.status, response.data)
 
-    def _note_answer(self, name: str, status: int, data: bytes) -> None:
+    def _check_response(self, name: str, status: int, data: bytes) -> None:
         if status == 200:
             self.answered += 1
             instance, _, rest = data.decode(errors="replace").partition(" ")
             if not instance.startswith("i-c") or rest != f"answers {name}":
-                self.broken.append(f"{name} got {data!r}")
+                self.violations.append(f"{name}: response of another request: {data!r}")
         elif status == 503:
-            self.calls_not_run.add(name)
-        elif status == 401 and self.keys.is_steady(name):
-            self.broken.append(f"{name}: a key that always held was refused")
+            self.refused_calls.add(name)
+        elif status == 401 and self.keys.has_stable_key(name):
+            self.violations.append(f"{name}: the stable key was refused")
 
-    def _name_versions(self) -> None:
-        while not self.stopped.wait(VERSION_EACH_S):
-            self.name_version()
+    def _publish_versions(self) -> None:
+        while not self.stopped.wait(VERSION_INTERVAL_S):
+            self.publish_version()
 
 
 __all__ = ["Soak"]
--- a/tests/serve/soak_checks.py
+++ b/tests/serve/soak_checks.py
@@ -1,11 +1,11 @@
-"""What must hold at the end of a soak, once all faults are healed."""
+"""The checks at the end of a soak test, once all faults are healed."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from tests.serve.fleet import wait_for
-from tests.serve.texts import made_for, wrong_text
+from tests.serve.texts import events_for, text_errors
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -15,50 +15,51 @@
 
 EVENTS = 12  # of a sample
 SAMPLES = 8  # of a lot
-UNDER_ONE = 3  # endpoints that may end before a request is known
-MORE_MOST = 3  # and after that, for trials
-FORGETFUL = {
+MAX_CRASHES = 3  # endpoints that may crash before a request is suspect
+MAX_TRIAL_RUNS = 3  # starts of a suspect request after that
+# Faults under which gateways may lose what they know about suspect requests.
+STATE_LOSS_FAULTS = {
     "all gateways killed",
     "all killed",
     "gateway killed",
-    "gateway stopped as planned",
-    "process frozen",
-    "gateway stands still",
-    "gateways begin without the list of members",
-    "gateways stand in for sidecars that stumble",
-    "holder stands still behind its proof",
+    "gateway stopped gracefully",
+    "process suspended",
+    "gateway suspended",
+    "gateways start without the member list",
+    "gateways take over from suspended sidecars",
+    "holder suspended after it verified its lock",
 }
-WHOLE_WITHIN_S = 60.0  # after all is healed; a bound for a busy machine, not a promise
+COMPLETION_TIMEOUT_S = 60.0  # after the faults; allows for a busy machine, no guarantee
 
 
-def broken(soak: Soak) -> list[str]:
-    """Return what was broken, empty if nothing was."""
+def find_violations(soak: Soak) -> list[str]:
+    """Return all violations found, an empty list if there are none."""
     return [
         *_lots(soak),
-        *_what_was_refused(soak),
-        *soak.orders.look(),
-        *_crashers(soak),
-        *soak.keys.broken(),
-        *soak.fleet.cloud.broken(soak.apart_s),
+        *_refused_work(soak),
+        *soak.orders.check(),
+        *_crashing_requests(soak),
+        *soak.keys.find_violations(),
+        *soak.fleet.cloud.broken(soak.min_alternation_s),
     ]
 
 
 def _lots(soak: Soak) -> Iterator[str]:
-    """All lots that were taken become whole, and the same at each gateway."""
-    for lot, least in soak.taken.items():
+    """Check that all accepted lots complete, with the same results at each gateway."""
+    for lot, min_version in soak.accepted.items():
         for gateway in soak.fleet.gateways:
             rows = wait_for(
                 lambda box=gateway, name=lot: _rows(soak, box, name),
-                f"{lot} whole at {gateway.name}, faults: {soak.done}",
-                WHOLE_WITHIN_S,
+                f"all results of {lot} at {gateway.name}, faults: {soak.faults_drawn}",
+                COMPLETION_TIMEOUT_S,
             )
-            for place, row in enumerate(rows):
-                soak.note(lot, place, row)
-        yield from _wrong_rows(soak, lot, least, rows)
+            for position, row in enumerate(rows):
+                soak.record_result(lot, position, row)
+        yield from _wrong_rows(soak, lot, min_version, rows)
 
 
 def _rows(soak: Soak, gateway: Box, lot: str) -> list[dict] | None:
-    """Return all results of a lot, page by page; none if some are missing yet."""
+    """Read all results of a lot, page by page; None if some are still missing."""
     rows: list[dict] = []
     while True:
         page = soak.fleet.results(gateway, lot, after=len(rows))
@@ -69,42 +70,42 @@
             return rows
 
 
-def _wrong_rows(soak: Soak, lot: str, least: int, rows: list[dict]) -> Iterator[str]:
+def _wrong_rows(soak: Soak, lot: str, min_version: int, rows: list[dict]) -> Iterator[str]:
     if {row["id"] for row in rows} != {f"{lot}-s{number}" for number in range(SAMPLES)}:
-        yield f"{lot}: {[row['id'] for row in rows]}"
+        yield f"{lot}: unexpected results {[row['id'] for row in rows]}"
     for row in rows:
         name = row["id"]
         if row["state"] != "succeeded":
             continue
-        made = made_for(soak.fleet.engines, name)
-        for wrong in wrong_text(row["text"], row["versions"], made, EVENTS):
-            yield f"{name}: {wrong}"
-        if min(row["versions"]) < least or row["score"] != "sig-" + name.replace("-s", "-r"):
-            yield f"{name}: versions {row['versions']}, score {row['score']}"
+        events = events_for(soak.fleet.engines, name)
+        for error in text_errors(row["text"], row["versions"], events, EVENTS):
+            yield f"{name}: {error}"
+        if min(row["versions"]) < min_version or row["score"] != "sig-" + name.replace("-s", "-r"):
+            yield f"{name}: wrong versions {row['versions']} or score {row['score']}"
 
 
-def _what_was_refused(soak: Soak) -> Iterator[str]:
-    """What was refused has not run."""
+def _refused_work(soak: Soak) -> Iterator[str]:
+    """Check that refused lots and calls did not run."""
     ran = {run["id"] for engine in soak.fleet.engines for run in engine.runs}
-    for lot in soak.refused:
+    for lot in soak.refused_lots:
         if any(name.startswith(f"{lot}-") for name in ran):
-            yield f"{lot} was refused and ran"
+            yield f"{lot} was refused but ran"
     called = {run["id"] for run in soak.fleet.callee.runs} | soak.pool.ran
-    for name in soak.calls_not_run & called:
-        yield f"{name} was refused and ran"
+    for name in soak.refused_calls & called:
+        yield f"{name} was refused but ran"
 
 
-def _crashers(soak: Soak) -> Iterator[str]:
-    """Requests that crash endpoints are not sent on, unless what is known was lost.
+def _crashing_requests(soak: Soak) -> Iterator[str]:
+    """Check that requests that crash endpoints are stopped, unless gateways lost their state.
 
-    Gateways that end while the store takes nothing take what they knew with them.
+    A gateway that exits while the store accepts no writes loses what it knew about suspects.
     """
-    if FORGETFUL & set(soak.done):
+    if STATE_LOSS_FAULTS & set(soak.faults_drawn):
         return
-    for target in soak.crashers:
-        begun = soak.pool.begun(target)
-        if begun > UNDER_ONE + MORE_MOST:
-            yield f"{target}: begun {begun} times, faults {soak.done}"
+    for target in soak.crashing_targets:
+        started = soak.pool.start_count(target)
+        if started > MAX_CRASHES + MAX_TRIAL_RUNS:
+            yield f"{target}: started {started} times, faults {soak.faults_drawn}"
 
 
-__all__ = ["EVENTS", "SAMPLES", "broken"]
+__all__ = ["EVENTS", "SAMPLES", "find_violations"]
--- a/tests/serve/suspended.py
+++ b/tests/serve/suspended.py
@@ -1,8 +1,8 @@
-"""Starts a process of ours on a box that can be suspended: ``suspended.py FILE ROLE``.
+"""Starts a role whose clocks can behave as on a suspended box: ``suspended.py FILE ROLE``.
 
-A stopped process is like a suspended box but for its clocks: there the steady clock does not count
-the time, while the clock since the boot and the time of day do. FILE holds the seconds that the
-steady clock is behind.
+A process stopped by SIGSTOP differs from one on a suspended box only in its clocks: the monotonic
+clock does not advance while a box is suspended, but the boot-time clock and the wall clock do. FILE
+holds the seconds by which the monotonic clock is behind.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 def main() -> None:
-    """Let the steady clock fall behind by what the file says, and start the role."""
-    behind = Path(sys.argv[1])
-    steady = time.monotonic
-    time.monotonic = lambda: steady() - float(behind.read_text(encoding="utf-8") or 0)
+    """Set the monotonic clock back by the seconds in the file, and start the role."""
+    lag_file = Path(sys.argv[1])
+    true_monotonic = time.monotonic
+    time.monotonic = lambda: true_monotonic() - float(lag_file.read_text(encoding="utf-8") or 0)
     sys.argv = [str(START), sys.argv[2]]
     runpy.run_path(str(START), run_name="__main__")
 
--- a/tests/serve/tcp_proxy.py
+++ b/tests/serve/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""A way to the store or an endpoint that tests can shut, hold up or let go silent."""
+"""A TCP proxy in front of the store or an endpoint, with connection faults for tests."""
 
 from __future__ import annotations
 
@@ -14,71 +14,74 @@
     from tests.serve.fleet import Box
     from threadramp.standins.server import StandIn
 
-PIECE = 65_536
+CHUNK_BYTES = 65_536
 
 
-W = TypeVar("W", bound="TcpProxy")
+ProxyT = TypeVar("ProxyT", bound="TcpProxy")
 
 
 class TcpProxy:
-    """Passes bytes on to an address; while it is shut, connections are reset.
+    """Forwards TCP connections to an address; while it is blocked, connections are reset.
 
-    Connections that went silent pass nothing on any more, and neither end hears of the other's end.
+    A blackholed connection drops everything that is sent on it, and neither peer is told when the
+    other one closes.
     """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.partition(":")
         self.target = (host, int(port))
         self.is_open = True
-        self.refused = 0  # connections while it was shut
+        self.refused = 0  # connections reset because the proxy was blocked
         self.sockets: set[socket.socket] = set()
-        self.silent: set[socket.socket] = set()
-        self.passed_at: dict[socket.socket, float] = {}
-        self.flowing = threading.Event()
-        self.hold_word = b""
+        self.blackholed: set[socket.socket] = set()
+        self.last_forwarded_at: dict[socket.socket, float] = {}
+        self.released = threading.Event()
+        self.hold_pattern = b""
         self.is_holding = False
         self.listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self._accept, daemon=True).start()
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the ``host:port`` on which the proxy listens."""
         host, port = self.listener.getsockname()
         return f"{host}:{port}"
 
     def block(self) -> None:
-        """Reset all connections, and new ones from now on."""
+        """Reset all open connections, and every new one until ``unblock``."""
         self.is_open = False
-        for one in list(self.sockets):
-            _reset(one)
+        for connection in list(self.sockets):
+            _reset(connection)
 
-    def blackhole(self, rested_s: float = 0.0) -> None:
-        """Let connections that are open now go silent for good; new ones work.
+    def blackhole(self, idle_s: float = 0.0) -> None:
+        """Drop what is sent on the connections open now, for good; new connections work.
 
-        :param rested_s: only those that passed nothing for so long
+        :param idle_s: affect only connections that forwarded nothing for this time
         """
-        until = time.monotonic() - rested_s
-        self.silent |= {one for one in self.sockets if self.passed_at.get(one, 0.0) <= until}
+        idle_since = time.monotonic() - idle_s
+        self.blackholed |= {
+            end for end in self.sockets if self.last_forwarded_at.get(end, 0.0) <= idle_since
+        }
 
-    def hold_matching(self, word: bytes) -> None:
-        """Let the next bytes with a word in them lie here until it goes on, as behind a cut.
+    def hold_matching(self, pattern: bytes) -> None:
+        """Hold the next chunk that contains a pattern until ``release``, as a partition would.
 
-        What was sent lies in its sender's kernel then, also once the sender has ended; it is
-        dropped where the sender reset its connection.
+        On a partitioned network the bytes stay in the send buffer of the sender's kernel, even
+        after the sender has exited; they are dropped if the sender reset its connection.
         """
-        self.hold_word = word
-        self.flowing.clear()
+        self.hold_pattern = pattern
+        self.released.clear()
 
     def release(self) -> None:
-        """Pass on what lies here, also of connections that were closed meanwhile."""
-        self.flowing.set()
+        """Forward the held chunk, even if its connection was closed meanwhile."""
+        self.released.set()
 
     def unblock(self) -> None:
-        """Pass connections on again."""
+        """Forward new connections again."""
         self.is_open = True
 
     def close(self) -> None:
-        """End it."""
+        """Reset all connections and stop listening."""
         self.block()
         self.listener.close()
 
@@ -93,85 +96,90 @@
                     _reset(caller)
 
     def _serve(self, caller: socket.socket) -> None:
-        with suppress(OSError):  # one of the two ends has gone
+        with suppress(OSError):  # one of the two peers disconnected
             target = socket.create_connection(self.target)
             self.sockets |= {caller, target}
-            threading.Thread(target=self._pass, args=(target, caller), daemon=True).start()
-            self._pass(caller, target)
+            threading.Thread(target=self._forward, args=(target, caller), daemon=True).start()
+            self._forward(caller, target)
 
-    def _pass(self, source: socket.socket, target: socket.socket) -> None:
+    def _forward(self, source: socket.socket, target: socket.socket) -> None:
         with suppress(OSError):
-            while piece := source.recv(PIECE):
-                self._wait_while_held(source, piece)
-                if source not in self.silent:
-                    self.passed_at[source] = self.passed_at[target] = time.monotonic()
-                    target.sendall(piece)
+            while chunk := source.recv(CHUNK_BYTES):
+                self._wait_while_held(source, chunk)
+                if source not in self.blackholed:
+                    self.last_forwarded_at[source] = self.last_forwarded_at[target] = (
+                        time.monotonic()
+                    )
+                    target.sendall(chunk)
             self._wait_while_held(source, b"")
-        if source in self.silent:
+        if source in self.blackholed:
             return
-        for one in (source, target):
+        for end in (source, target):
             with suppress(OSError):
-                one.shutdown(socket.SHUT_RDWR)
+                end.shutdown(socket.SHUT_RDWR)
         self.sockets -= {source, target}
 
-    def _wait_while_held(self, source: socket.socket, piece: bytes) -> None:
-        """Let a piece lie here if it is to, or the end of a connection if it is empty.
+    def _wait_while_held(self, source: socket.socket, chunk: bytes) -> None:
+        """Block while a chunk is to be held.
 
-        :raises ConnectionResetError: if its sender reset the connection meanwhile
+        :param chunk: empty for the end of the connection
+        :raises ConnectionResetError: if the sender reset the connection meanwhile
         """
-        if not self.hold_word or self.hold_word not in piece:
+        if not self.hold_pattern or self.hold_pattern not in chunk:
             return
-        self.hold_word = b""
+        self.hold_pattern = b""
         self.is_holding = True
-        self.flowing.wait()
+        self.released.wait()
         self.is_holding = False
         raise_if_reset(source)
 
 
 def raise_if_reset(source: socket.socket) -> None:
-    """Look whether a sender reset its connection while its bytes lay here.
+    """Check whether the sender reset its connection while its bytes were held.
 
-    :raises ConnectionResetError: if it did; its kernel has dropped them then
+    :raises ConnectionResetError: if it did; its kernel has then dropped the unsent bytes
     """
     error = source.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if error:
-        raise ConnectionResetError(error, "what lay here is dropped")
+        raise ConnectionResetError(error, "connection reset by the sender: held bytes are dropped")
 
 
-def proxy_store(box: Box, store_address: str, kind: type[W] = TcpProxy) -> W:
-    """Let a process that has not started yet reach the store through a way."""
-    way = kind(store_address)
-    box.settings["provider"]["address"] = way.address
+def proxy_store(box: Box, store_address: str, kind: type[ProxyT] = TcpProxy) -> ProxyT:
+    """Route the store traffic of a process that has not started yet through a proxy."""
+    proxy = kind(store_address)
+    box.settings["provider"]["address"] = proxy.address
     box.write()
-    return way
+    return proxy
 
 
 def serve_behind_proxy(
     serve: Callable[[StandIn], str],
-    made: list[W],
-    wanted: Callable[[StandIn], bool],
-    kind: type[W] = TcpProxy,
+    proxies: list[ProxyT],
+    is_proxied: Callable[[StandIn], bool],
+    kind: type[ProxyT] = TcpProxy,
 ) -> Callable[[StandIn], str]:
-    """Return what serves stand-ins as ``serve`` does, those that are wanted behind a way.
+    """Wrap ``serve`` so that the selected stand-ins are served behind a proxy.
 
-    :param made: takes the ways
+    :param proxies: list to which the created proxies are appended
+    :param is_proxied: whether a stand-in is to be served behind a proxy
+    :param kind: class of the proxies
     """
 
     def start(standin: StandIn) -> str:
         address = serve(standin)
-        if not wanted(standin):
+        if not is_proxied(standin):
             return address
-        made.append(kind(address))
-        return made[-1].address
+        proxies.append(kind(address))
+        return proxies[-1].address
 
     return start
 
 
-def _reset(one: socket.socket) -> None:
+def _reset(connection: socket.socket) -> None:
     with suppress(OSError):
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-        one.shutdown(socket.SHUT_RDWR)
-    one.close()
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+        connection.shutdown(socket.SHUT_RDWR)
+    connection.close()
 
 
 __all__ = ["TcpProxy", "proxy_store", "raise_if_reset", "serve_behind_proxy"]
--- a/tests/serve/test_clocks.py
+++ b/tests/serve/test_clocks.py
@@ -12,21 +12,21 @@
 from tests.serve.fleet import CALLS, PlatformFleet, bearer, wait_for
 from tests.serve.tcp_proxy import proxy_store
 from tests.serve.usage import (
-    APART_S,
     KEYS,
-    LATE_S,
-    OFF_MOST,
+    MAX_DEVIATION,
+    MAX_REPORT_DELAY_S,
+    MIN_ALTERNATION_S,
     WINDOW_S,
     Callers,
-    began,
-    box_of,
     check,
-    first_told,
+    current_window,
+    first_report_delays,
+    gateway_named,
     holder,
     is_close,
     reported,
+    started_counts,
     wait_for_windows,
-    window_now,
 )
 from threadramp.policy.duty_assignment import succession_order
 
@@ -69,7 +69,11 @@
     def started(ahead: dict[str, float] | None = None, turned_away: str = "") -> ShiftedFleet:
         fleet = ShiftedFleet(tmp_path, serve, ahead or {})
         callers = Callers(fleet)
-        ways = [proxy_store(box_of(fleet, turned_away), fleet.store_address)] if turned_away else []
+        ways = (
+            [proxy_store(gateway_named(fleet, turned_away), fleet.store_address)]
+            if turned_away
+            else []
+        )
         made.append((fleet, callers, ways))
         fleet.start()
         for way in ways:
@@ -90,8 +94,8 @@
     """Check windows: each once and complete, in time, by one box at a time."""
     wait_for_windows(fleet, first, count)
     check(fleet, first, count)
-    late = first_told(fleet).values()
-    assert max(late) < LATE_S
+    late = first_report_delays(fleet).values()
+    assert max(late) < MAX_REPORT_DELAY_S
     assert min(late) > 0
 
 
@@ -99,15 +103,15 @@
 @pytest.mark.parametrize("name", [HOLDER, HEIR, COUNTS_ONLY])
 def test_a_box_that_is_off_from_its_start(start, name, ahead):
     """Also the first windows: calls come from the moment on at which all are ready."""
-    began_at = window_now()
+    began_at = current_window()
     fleet = start({name: ahead})
-    wait_for_windows(fleet, window_now(), 4)
+    wait_for_windows(fleet, current_window(), 4)
     told = sorted(reported(fleet))
     assert told == list(range(told[0], told[-1] + 1))
     calls_from = min(int(run["at"] // WINDOW_S) for run in fleet.callee.runs)
     assert began_at - 1 <= told[0] <= calls_from
     # Calls came in a part of the first window only; it is off by no more than a whole one may be.
-    assert is_close(reported(fleet)[calls_from], began(fleet, calls_from), OFF_MOST)
+    assert is_close(reported(fleet)[calls_from], started_counts(fleet, calls_from), MAX_DEVIATION)
     check_in_time(fleet, calls_from + 1, told[-1] - calls_from)
 
 
@@ -115,7 +119,7 @@
 @pytest.mark.parametrize("name", [HOLDER, HEIR, COUNTS_ONLY])
 def test_a_box_that_jumps_to_and_back(start, name, ahead):
     fleet = start()
-    first = window_now() + 1
+    first = current_window() + 1
     fleet.shift(name, ahead)
     time.sleep(JUMP_LASTS_S)
     fleet.shift(name, 0.0)
@@ -126,9 +130,9 @@
 def test_a_box_that_starts_again_with_a_clock_that_is_off(start, ahead):
     """It counts calls at once, before it has heard what the time is."""
     fleet = start()
-    box = box_of(fleet, COUNTS_ONLY)
+    box = gateway_named(fleet, COUNTS_ONLY)
     box.stop()
-    first = window_now() + 1
+    first = current_window() + 1
     fleet.shift(box.name, ahead)
     box.start()
     wait_for(lambda: box.ready() == 200, "ready again")
@@ -140,18 +144,18 @@
     fleet = start()
     fleet.shift(HEIR, heir_ahead)
     fleet.shift(HOLDER, ahead)
-    first = window_now() + 1
+    first = current_window() + 1
     time.sleep(WINDOW_S)
-    box_of(fleet, HOLDER).process.send_signal(signal.SIGSTOP)
+    gateway_named(fleet, HOLDER).process.send_signal(signal.SIGSTOP)
     try:
         wait_for(lambda: holder(fleet) == HEIR, "another holder")
     finally:
-        box_of(fleet, HOLDER).process.send_signal(signal.SIGCONT)
+        gateway_named(fleet, HOLDER).process.send_signal(signal.SIGCONT)
     # What the frozen one counted since it was last asked comes too late for the first windows.
     wait_for_windows(fleet, first, 6)
-    assert fleet.cloud.broken(APART_S) == []
-    assert max(first_told(fleet).values()) < LATE_S
-    check_in_time(fleet, window_now() + 1, 2)
+    assert fleet.cloud.broken(MIN_ALTERNATION_S) == []
+    assert max(first_report_delays(fleet).values()) < MAX_REPORT_DELAY_S
+    check_in_time(fleet, current_window() + 1, 2)
 
 
 @pytest.mark.parametrize(("ahead", "heir_ahead"), [(3.0, -3.0), (-3.0, 3.0)])
@@ -159,8 +163,8 @@
     fleet = start()
     fleet.shift(HOLDER, ahead)
     fleet.shift(HEIR, heir_ahead)
-    first = window_now() + 1
-    box_of(fleet, HOLDER).stop()
+    first = current_window() + 1
+    gateway_named(fleet, HOLDER).stop()
     check_in_time(fleet, first, 5)
     assert holder(fleet) == HEIR
 
--- a/tests/serve/test_crashes.py
+++ b/tests/serve/test_crashes.py
@@ -91,9 +91,9 @@
     wait_for(lambda: ask(late, "/calm").status == 200, "others are served")
     sent = 0
     for _ in range(20):  # 6 s, in which endpoints are back after 0.6 s
-        begun = pool.begun("/crashes")
+        begun = pool.start_count("/crashes")
         answer = ask(late, "/crashes")
-        sent_now = pool.begun("/crashes") - begun
+        sent_now = pool.start_count("/crashes") - begun
         assert (answer.status, sent_now) in ((503, 0), (502, 1))
         if answer.status == 503:
             assert float(answer.headers["Retry-After"]) > 0
@@ -173,10 +173,10 @@
     fleet, pool = crowd
     third_crash(fleet, pool)
     time.sleep(CONFIRMED_S)
-    begun = pool.begun("/crashes")
+    begun = pool.start_count("/crashes")
     wait_for(lambda: ask(fleet.gateways[0], "/calm").status == 200, "endpoints are back")
     ask(fleet.gateways[0], "/crashes", caller="Bearer another")
-    assert pool.begun("/crashes") > begun
+    assert pool.start_count("/crashes") > begun
 
 
 @pytest.fixture
--- a/tests/serve/test_crashes_behind_ports.py
+++ b/tests/serve/test_crashes_behind_ports.py
@@ -98,7 +98,7 @@
     """Assert that a request was sent on no more than it may be."""
     crashes = pool.crashes
     assert len(crashes) >= UNDER_ONE
-    assert pool.begun(target, after=crashes[UNDER_ONE - 1] + KNOWN_S) <= MORE_MOST
+    assert pool.start_count(target, after=crashes[UNDER_ONE - 1] + KNOWN_S) <= MORE_MOST
     assert len(crashes) <= UNDER_ONE + MORE_MOST
 
 
--- a/tests/serve/test_cuts.py
+++ b/tests/serve/test_cuts.py
@@ -112,7 +112,7 @@
     fleet, made = sidecar_ways
     for way in made:
         way.block()
-    fleet.name_version(2)
+    fleet.publish_version(2)
     for engine in fleet.engines:
         wait_for(lambda one=engine: one.versions["m"] == 2, f"{engine.instance} loads", 8.0)
     time.sleep(LEASE_S + 1.0)  # a place that nobody renews is gone by then
--- a/tests/serve/test_hosting.py
+++ b/tests/serve/test_hosting.py
@@ -56,7 +56,7 @@
 
 def test_a_version_is_loaded_there_by_one_holder(bare):
     fleet, _ = bare
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: all(engine.versions["m"] == 2 for engine in fleet.engines), "loaded", 20.0)
     for engine in fleet.engines:
         assert len(set(orders(engine))) == 1
@@ -94,14 +94,14 @@
 def test_the_right_to_order_goes_over_and_back_with_rising_numbers(bare):
     """A sidecar comes in the midst of a load that a gateway ordered."""
     fleet, sidecars = bare
-    fleet.name_version(2)
+    fleet.publish_version(2)
     for engine in fleet.engines:
         engine.faults["load_s"] = 1.0
     wait_for(lambda: all(engine.orders for engine in fleet.engines), "ordered", 20.0)
     for sidecar in sidecars:
         sidecar.start()
     wait_for(lambda: all(box.lines("engine_start") for box in sidecars), "sidecars are there")
-    fleet.name_version(3)
+    fleet.publish_version(3)
     wait_for(lambda: all(engine.versions["m"] == 3 for engine in fleet.engines), "loaded", 25.0)
     for engine in fleet.engines:
         numbers = [fence for _, fence in orders(engine)]
--- a/tests/serve/test_lots.py
+++ b/tests/serve/test_lots.py
@@ -211,7 +211,7 @@
 
 
 def test_a_named_version_is_loaded_once_and_labels_what_it_makes(fleet):
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: all(one.versions["m"] == 2 for one in fleet.engines), "version 2 loaded")
     assert [len(engine.orders) for engine in fleet.engines] == [1, 1]
     fleet.hand_in(fleet.gateways[0], "lot1", min_version=2)
--- a/tests/serve/test_one_holder.py
+++ b/tests/serve/test_one_holder.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.serve.fleet import PlatformFleet, wait_for
-from tests.serve.orders import broken_by
+from tests.serve.orders import order_violations
 from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 from threadramp.platform.standins.endpoint import PlatformEngine
 
@@ -53,30 +53,30 @@
 
 def test_a_sidecar_that_stood_still_does_not_order_by_what_it_knew_before(fleet):
     engine, side = fleet.engines[0], fleet.sidecars[0]
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: has_loaded(engine, 2), "the sidecar ordered")
     side.process.send_signal(signal.SIGSTOP)
-    fleet.name_version(3)
+    fleet.publish_version(3)
     wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", STOOD_IN_S)
     side.process.send_signal(signal.SIGCONT)
     wait_for(lambda: "member/side-0" in fleet.keys("member/"), "it is listed again")
     time.sleep(1.0)  # what lay at it meanwhile has been answered
-    fleet.name_version(4)
+    fleet.publish_version(4)
     wait_for(lambda: has_loaded(engine, 4), "whoever it is ordered", STOOD_IN_S)
     time.sleep(LATE_S)
-    assert broken_by(engine.arrived) == []
+    assert order_violations(engine.arrived) == []
 
 
 def test_an_order_that_lay_behind_a_cut_does_not_come_after_the_next_holders(fleet, ways):
     engine, side = fleet.engines[0], fleet.sidecars[0]
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: has_loaded(engine, 2), "the sidecar ordered")
     ways[0].hold_matching(b"POST /threadramp/order")
-    fleet.name_version(3)
+    fleet.publish_version(3)
     wait_for(lambda: ways[0].is_holding, "its next order is on its way")
     side.kill()
     fleet.remove("member/side-0")
     wait_for(lambda: has_loaded(engine, 3), "a gateway ordered in its place", STOOD_IN_S)
     ways[0].release()
     time.sleep(LATE_S)
-    assert broken_by(engine.arrived) == []
+    assert order_violations(engine.arrived) == []
--- a/tests/serve/test_restarts.py
+++ b/tests/serve/test_restarts.py
@@ -67,7 +67,7 @@
     fleet, way = behind_ways
     (engine,) = fleet.engines
     engine.faults["load_s"] = 3.0
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: engine.orders, "a load is ordered")
     engine.faults["load_s"] = 0.1
     start_again(fleet, way)
--- a/tests/serve/test_soak.py
+++ b/tests/serve/test_soak.py
@@ -19,8 +19,8 @@
         broken = soak.run(SECONDS)
         print(*broken, sep="\n")  # a failure shows the first ones only
         assert broken == []
-        assert soak.taken, "no lot was taken at all"
+        assert soak.accepted, "no lot was taken at all"
         assert soak.answered, "no call was answered at all"
     finally:
-        print(soak.told())
+        print(soak.summary())
         soak.close()
--- a/tests/serve/test_soak_checks.py
+++ b/tests/serve/test_soak_checks.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.serve.order_watch import OrderWatch
-from tests.serve.texts import wrong_text
+from tests.serve.texts import text_errors
 from threadramp.platform.standins.endpoint import MadeEvent, PlatformEngine
 
 EVENTS = 3
@@ -26,39 +26,39 @@
 @pytest.mark.parametrize(
     ("orders", "word"),
     [
-        ([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)], "lower number"),
-        ([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0, status=409)], "lower number"),
+        ([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)], "lower fencing token"),
+        ([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0, status=409)], "lower fencing token"),
         ([order(FRONT, 12, 1.0), order(SIDE, 12, 9.0)], "two holders"),
-        ([order(SIDE, 9, 1.0), order(FRONT, 12, 2.0), order(SIDE, 14, 3.5)], "in turns"),
+        ([order(SIDE, 9, 1.0), order(FRONT, 12, 2.0), order(SIDE, 14, 3.5)], "alternating holders"),
     ],
 )
 def test_orders_of_two_holders_are_found(orders, word):
-    (found,) = watch(orders).look()
+    (found,) = watch(orders).check()
     assert found.startswith("i-e0: ")
     assert word in found
 
 
 def test_what_was_seen_once_is_told_once_and_to_the_end():
     seen = watch([order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)])
-    assert seen.look() == seen.look()
-    assert len(seen.look()) == 1
+    assert seen.check() == seen.check()
+    assert len(seen.check()) == 1
 
 
 def test_holders_one_after_the_other_are_in_order():
     orders = [order(SIDE, 9, 1.0), order(SIDE, 9, 2.0), order(FRONT, 12, 8.0), order(SIDE, 14, 15)]
-    assert watch(orders).look() == []
+    assert watch(orders).check() == []
 
 
 @pytest.mark.parametrize(("since", "counts"), [(0.2, False), (0.4, True), (-0.1, True)])
 def test_what_arrives_right_after_a_thaw_or_a_mend_does_not_count(since, counts):
     orders = [order(FRONT, 12, 1.0), order(SIDE, 9, 9.0)]
-    assert bool(watch(orders, thawed=9.0 - since).look()) is counts
-    assert bool(watch(orders, mended=9.0 - since).look()) is counts
+    assert bool(watch(orders, thawed=9.0 - since).check()) is counts
+    assert bool(watch(orders, mended=9.0 - since).check()) is counts
 
 
 def test_a_thaw_of_another_box_counts_for_nothing():
     orders = [order(FRONT, 12, 1.0), order("side-1", 9, 9.0)]
-    assert watch(orders, thawed=8.9).look()
+    assert watch(orders, thawed=8.9).check()
 
 
 def made(run: str, numbers: range, after: int = 0, version: int = 1) -> list[MadeEvent]:
@@ -71,26 +71,26 @@
 
 def test_a_text_that_was_made_for_it_is_right():
     whole = made("a", range(1, 4))
-    assert wrong_text(text(*whole), [1], whole, EVENTS) == []
+    assert text_errors(text(*whole), [1], whole, EVENTS) == []
 
 
 def test_a_text_that_goes_on_where_it_was_asked_to_is_right():
     first, second = made("a", range(1, 3)), made("b", range(2, 4), after=1, version=2)
     both = [*first, *second]
-    assert wrong_text(text(first[0], *second), [1, 2], both, EVENTS) == []
+    assert text_errors(text(first[0], *second), [1, 2], both, EVENTS) == []
 
 
 @pytest.mark.parametrize(
     ("lines", "versions", "word"),
     [
-        (["s1-1 a", "s1-2 a"], [1], "2 lines of 3"),
-        (["s1-1 a", "s1-2 a", "s2-3 a"], [1], "never made"),
-        (["s1-1 a", "s1-3 a", "s1-2 a"], [1], "never made"),
-        (["s1-1 a", "s1-2 b", "s1-3 b"], [1], "behind 0"),
+        (["s1-1 a", "s1-2 a"], [1], "2 lines instead of 3"),
+        (["s1-1 a", "s1-2 a", "s2-3 a"], [1], "never generated"),
+        (["s1-1 a", "s1-3 a", "s1-2 a"], [1], "never generated"),
+        (["s1-1 a", "s1-2 b", "s1-3 b"], [1], "resumed after line 0"),
         (["s1-1 a", "s1-2 a", "s1-3 a"], [1, 2], "versions"),
         (["s1-1 a", "s1-2 a", "s1-3 a"], [], "versions"),
     ],
 )
 def test_texts_that_were_not_made_so_are_found(lines, versions, word):
     events = [*made("a", range(1, 4)), *made("b", range(1, 4))]
-    assert any(word in one for one in wrong_text("\n".join(lines), versions, events, EVENTS))
+    assert any(word in one for one in text_errors("\n".join(lines), versions, events, EVENTS))
--- a/tests/serve/texts.py
+++ b/tests/serve/texts.py
@@ -1,4 +1,4 @@
-"""Compares the text of a result with what engines made for its sample, byte for byte."""
+"""Compares the text of a result byte for byte with what engines generated for its sample."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     from threadramp.platform.standins.endpoint import MadeEvent, PlatformEngine
 
 
-def made_for(engines: Iterable[PlatformEngine], sample: str) -> list[MadeEvent]:
-    """Return all events that engines made for a sample."""
+def events_for(engines: Iterable[PlatformEngine], sample: str) -> list[MadeEvent]:
+    """Return all events that engines generated for a sample."""
     found = []
     for engine in engines:
         with engine.lock:
@@ -19,36 +19,38 @@
     return found
 
 
-def wrong_text(
-    text: str, versions: Sequence[int], made: Iterable[MadeEvent], events: int
+def text_errors(
+    text: str, versions: Sequence[int], generated: Iterable[MadeEvent], events: int
 ) -> list[str]:
-    """Return what is wrong with the text of a result, and with the versions that it names.
+    """Return the errors in the text of a result and in its list of versions.
 
-    Each line is one that was made for the sample, under its number. Where the lines of another run
-    begin, that run was asked to go on behind the line before.
+    Each line must be one that an engine generated for the sample under this line number. Where the
+    lines of another run begin, that run must have been asked to resume after the previous line.
 
-    :param made: for the sample of the result
-    :param events: of a whole text
+    :param generated: all events generated for the sample of the result
+    :param events: number of events in a complete text
     """
-    by_line = {(event.number, event.line): event for event in made}
+    by_line = {(event.number, event.line): event for event in generated}
     lines = text.split("\n")
     if len(lines) != events:
-        return [f"{len(lines)} lines of {events}"]
+        return [f"{len(lines)} lines instead of {events}"]
     found = []
     run = ""
-    told = set()
+    generated_under = set()
     for number, line in enumerate(lines, start=1):
         event = by_line.get((number, line))
         if event is None:
-            found.append(f"line {number} was never made for it: {line!r}")
+            found.append(f"line {number} was never generated for the sample: {line!r}")
             continue
         if event.run != run and event.after != number - 1:
-            found.append(f"line {number} is of a run behind {event.after}: {line!r}")
+            found.append(
+                f"line {number} is from a run that resumed after line {event.after}: {line!r}"
+            )
         run = event.run
-        told.add(event.version)
-    if not found and set(versions) != told:
-        found.append(f"versions {sorted(versions)}, made under {sorted(told)}")
+        generated_under.add(event.version)
+    if not found and set(versions) != generated_under:
+        found.append(f"versions {sorted(versions)}, generated under {sorted(generated_under)}")
     return found
 
 
-__all__ = ["made_for", "wrong_text"]
+__all__ = ["events_for", "text_errors"]
--- a/tests/serve/usage.py
+++ b/tests/serve/usage.py
@@ -1,4 +1,4 @@
-"""Calls of two organisations at real processes, and what was reported of them."""
+"""Sends calls of two organisations to a fleet and checks the usage reports of them."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 
 KEYS = {"acme": ("acme-key-0123456789",), "rival": ("rival-key-987654321",)}
 WINDOW_S = 2.0
-APART_S = 3.0
-LATE_S = 10.0
-CALL_EACH_S = 0.02
+# A holder of the duties may not act again within this time if another holder acted in between.
+MIN_ALTERNATION_S = 3.0
+MAX_REPORT_DELAY_S = 10.0
+CALL_INTERVAL_S = 0.02
 TOLERANCE = 0.05
-OFF_MOST = TOLERANCE * WINDOW_S / CALL_EACH_S  # requests of one organisation in a whole window
+# Requests of one organisation by which the report of a whole window may be off.
+MAX_DEVIATION = TOLERANCE * WINDOW_S / CALL_INTERVAL_S
 
 
 class Callers:
-    """Calls of both organisations at gateways that are there, one after the other."""
+    """Sends calls of both organisations to the running gateways, round robin."""
 
     def __init__(self, fleet: PlatformFleet) -> None:
         self.fleet = fleet
@@ -31,103 +33,115 @@
         self.numbers = itertools.count()
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start to send calls."""
         for thread in self.threads:
             thread.start()
 
     def close(self) -> None:
-        """Stop calling; also where a set-up failed before they began."""
+        """Stop the threads; works too if a failed set-up never started them."""
         self.stopped.set()
         for thread in self.threads:
             if thread.is_alive():
                 thread.join()
 
-    def _run(self, place: int) -> None:
-        name, (key,) = list(KEYS.items())[place]
-        while not self.stopped.wait(CALL_EACH_S):
+    def _run(self, index: int) -> None:
+        name, (key,) = list(KEYS.items())[index]
+        while not self.stopped.wait(CALL_INTERVAL_S):
             number = next(self.numbers)
-            alive = [one for one in self.fleet.gateways if one.process.poll() is None]
+            alive = [box for box in self.fleet.gateways if box.process.poll() is None]
             with suppress(HTTPError, OSError):
                 gateway = alive[number % len(alive)]
                 headers = {"X_Attempt_Id": f"{name}{number}", **bearer(key)}
                 gateway.call("POST", "/x/", host=CALLS, timeout_s=2.0, **headers)
 
 
-def first_told(fleet) -> dict[int, float]:
-    """Return how late each window was told for the first time; the next holder repeats some."""
-    late: dict[int, float] = {}
+def first_report_delays(fleet) -> dict[int, float]:
+    """Return the seconds from the end of each window to its first report.
+
+    A new holder of the duties repeats some reports; the repetitions do not count.
+    """
+    delays: dict[int, float] = {}
     for row in usage(fleet):
-        late.setdefault(row["window"], row["at"] - (row["window"] + 1) * WINDOW_S)
-    return late
+        delays.setdefault(row["window"], row["at"] - (row["window"] + 1) * WINDOW_S)
+    return delays
 
 
-def window_now() -> int:
+def current_window() -> int:
+    """Return the number of the current usage window."""
     return int(time.time() // WINDOW_S)
 
 
 def reported(fleet) -> dict[int, dict[str, int]]:
+    """Return the reported counts by organisation, by window."""
     return {row["window"]: row["counts"] for row in usage(fleet)}
 
 
-def began(fleet, window: int) -> dict[str, int]:
+def started_counts(fleet, window: int) -> dict[str, int]:
+    """Return how many calls the endpoint started in a window, by organisation."""
     runs = [run for run in list(fleet.callee.runs) if int(run["at"] // WINDOW_S) == window]
     return dict(Counter(run["tenant"] for run in runs))
 
 
 def wait_for_windows(fleet, first: int, count: int) -> None:
-    """Wait until so many windows from one on are reported."""
+    """Wait until ``count`` windows starting with ``first`` are reported."""
     wanted = range(first, first + count)
-    wait_for(lambda: all(one in reported(fleet) for one in wanted), f"windows {wanted}")
+    wait_for(
+        lambda: all(window in reported(fleet) for window in wanted), f"reports of windows {wanted}"
+    )
 
 
-def is_close(told: dict[str, int], truth: dict[str, int], least: float = 1) -> bool:
-    """Return whether what was told is within the tolerance.
+def is_close(reported: dict[str, int], actual: dict[str, int], min_tolerance: float = 1) -> bool:
+    """Return whether reported counts are within the tolerance of the actual ones.
 
-    :param least: requests that it may be off in any case, such as one at an edge
+    :param min_tolerance: requests by which a count may always be off, such as one at a window edge
     """
-    names = told.keys() | truth.keys()
+    names = reported.keys() | actual.keys()
     return all(
-        abs(told.get(one, 0) - truth.get(one, 0)) <= max(least, TOLERANCE * truth.get(one, 0))
-        for one in names
+        abs(reported.get(name, 0) - actual.get(name, 0))
+        <= max(min_tolerance, TOLERANCE * actual.get(name, 0))
+        for name in names
     )
 
 
 def check(fleet, first: int, count: int) -> None:
-    told = reported(fleet)
+    """Assert that windows were reported as the endpoints counted them, without rule violations."""
+    counts = reported(fleet)
     for window in range(first, first + count):
-        truth = began(fleet, window)
-        assert is_close(told[window], truth), (window, told[window], truth)
-    assert fleet.cloud.broken(APART_S) == []
+        actual = started_counts(fleet, window)
+        assert is_close(counts[window], actual), (window, counts[window], actual)
+    assert fleet.cloud.broken(MIN_ALTERNATION_S) == []
 
 
 def holder(fleet) -> str:
+    """Return the name of the box that sent the last duty call accepted by the cloud."""
     return fleet.cloud.taken[-1]["holder"] if fleet.cloud.taken else ""
 
 
-def box_of(fleet, name: str):
-    return next(one for one in fleet.gateways if one.name == name)
+def gateway_named(fleet, name: str):
+    return next(box for box in fleet.gateways if box.name == name)
 
 
 def usage(fleet) -> list[dict]:
+    """Return the usage reports that the cloud accepted."""
     return [row for row in list(fleet.cloud.taken) if row["duty"] == "usage"]
 
 
 __all__ = [
-    "APART_S",
-    "CALL_EACH_S",
+    "MIN_ALTERNATION_S",
+    "CALL_INTERVAL_S",
     "KEYS",
-    "LATE_S",
-    "OFF_MOST",
+    "MAX_REPORT_DELAY_S",
+    "MAX_DEVIATION",
     "WINDOW_S",
     "Callers",
-    "began",
-    "box_of",
+    "started_counts",
+    "gateway_named",
     "check",
-    "first_told",
+    "first_report_delays",
     "holder",
     "is_close",
     "reported",
     "usage",
     "wait_for_windows",
-    "window_now",
+    "current_window",
 ]
