--- a/tests/serve/test_crashes.py
+++ b/tests/serve/test_crashes.py
@@ -95,9 +95,9 @@
     wait_for(lambda: send_request(late, "/calm").status == 200, "other requests are served")
     forwarded = 0
     for _ in range(20):  # 6 s in all; endpoints restart within 0.6 s
-        begun = pool.begun("/crashes")
+        begun = pool.start_count("/crashes")
         answer = send_request(late, "/crashes")
-        forwarded_now = pool.begun("/crashes") - begun
+        forwarded_now = pool.start_count("/crashes") - begun
         assert (answer.status, forwarded_now) in ((503, 0), (502, 1))
         if answer.status == 503:
             assert float(answer.headers["Retry-After"]) > 0
@@ -177,12 +177,12 @@
     fleet, pool = crashing_fleet
     crash_three_endpoints(fleet, pool)
     time.sleep(STORED_S)
-    begun = pool.begun("/crashes")
+    begun = pool.start_count("/crashes")
     wait_for(
         lambda: send_request(fleet.gateways[0], "/calm").status == 200, "endpoints have restarted"
     )
     send_request(fleet.gateways[0], "/crashes", caller="Bearer another")
-    assert pool.begun("/crashes") > begun
+    assert pool.start_count("/crashes") > begun
 
 
 @pytest.fixture
--- a/tests/serve/test_crashes_behind_ports.py
+++ b/tests/serve/test_crashes_behind_ports.py
@@ -101,7 +101,10 @@
     """Assert that a request was forwarded no more often than allowed after the third crash."""
     crashes = pool.crashes
     assert len(crashes) >= MAX_CRASHES
-    assert pool.begun(target, after=crashes[MAX_CRASHES - 1] + MAX_PROPAGATION_S) <= MAX_FORWARDED
+    assert (
+        pool.start_count(target, after=crashes[MAX_CRASHES - 1] + MAX_PROPAGATION_S)
+        <= MAX_FORWARDED
+    )
     assert len(crashes) <= MAX_CRASHES + MAX_FORWARDED
 
 
--- a/tests/serve/test_cuts.py
+++ b/tests/serve/test_cuts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, wait_for
-from tests.serve.way import Way, put_before
+from tests.serve.tcp_proxy import TcpProxy, proxy_store
 from threadramp.fleet.membership import LEASE_S
 from threadramp.platform.standins.endpoint import PlatformEngine
 
@@ -22,7 +22,7 @@
     """Start a fleet whose gateways reach the store through proxies that can be blocked."""
     fleet, made = fleet_parts
     for gateway in fleet.gateways:
-        made.append(put_before(gateway, fleet.store_address))
+        made.append(proxy_store(gateway, fleet.store_address))
     fleet.start()
     for gateway in fleet.gateways:  # without a known peer a gateway has no other path to the store
         wait_for(
@@ -36,14 +36,14 @@
     """Start a fleet whose sidecars reach the store through proxies that can be blocked."""
     fleet, made = fleet_parts
     for sidecar in fleet.sidecars:
-        made.append(put_before(sidecar, fleet.store_address))
+        made.append(proxy_store(sidecar, fleet.store_address))
     fleet.start()
     return fleet, made
 
 
 @pytest.fixture
 def fleet_parts(tmp_path, serve):
-    made: list[Way] = []
+    made: list[TcpProxy] = []
     fleet = PlatformFleet(tmp_path, serve)
     yield fleet, made
     fleet.close()
@@ -58,7 +58,7 @@
 def test_gateways_cut_from_the_store_learn_of_changes_through_sidecars(ways):
     fleet, made = ways
     for way in made:
-        way.shut()
+        way.block()
     assert fleet.hand_in(fleet.gateways[0], "lot1") == 202
     assert len(fleet.whole(fleet.gateways[1], "lot1")) == 6
     fleet.configure(version=4, pathPrefix="/new/")
@@ -69,7 +69,7 @@
 def test_an_endpoint_that_drains_meanwhile_gets_no_new_requests(ways):
     fleet, made = ways
     for way in made:
-        way.shut()
+        way.block()
     fleet.register("i-c0", "calls", "127.0.0.1:1", state="draining")
     for gateway in fleet.gateways:
         wait_for(lambda box=gateway: send_request(box).status == 503, "no endpoint is left", 3.0)
@@ -78,12 +78,12 @@
 def test_one_gateway_cut_from_the_store_keeps_serving(ways):
     fleet, made = ways
     first, second = fleet.gateways
-    made[0].shut()
+    made[0].block()
     assert fleet.hand_in(first, "lot1") == 202
     assert len(fleet.whole(first, "lot1")) == 6
     fleet.configure(version=4, pathPrefix="/new/")
     wait_for(lambda: send_request(first, "/new/x").status == 200, "new route", 3.0)
-    made[0].open()
+    made[0].unblock()
     wait_for(lambda: first.lines("store_regained"), "its own path to the store is used again", 5.0)
     assert len(fleet.whole(second, "lot1")) == 6
 
@@ -95,11 +95,11 @@
     removed = PlatformEngine({"instance": "i-c1"})
     fleet.register("i-c1", "calls", fleet.serve(removed))
     wait_for(lambda: send_request(first).status == 200 and removed.runs, "both endpoints are used")
-    way.shut()
+    way.block()
     time.sleep(PARTITION_S)
     refused = way.refused
     wait_for(lambda: way.refused > refused, "a probe was just blocked")
-    way.open()
+    way.unblock()
     opened_at = time.monotonic()
     time.sleep(REMOVAL_DELAY_S)
     fleet.remove("servers/i-c1")
@@ -113,8 +113,8 @@
 def test_sidecars_cut_from_the_store_learn_of_versions_and_stay_listed(sidecar_ways):
     fleet, made = sidecar_ways
     for way in made:
-        way.shut()
-    fleet.name_version(2)
+        way.block()
+    fleet.publish_version(2)
     for engine in fleet.engines:
         wait_for(lambda one=engine: one.versions["m"] == 2, f"{engine.instance} loads", 8.0)
     time.sleep(LEASE_S + 1.0)  # a member entry that is not renewed has expired by then
--- a/tests/serve/test_duties.py
+++ b/tests/serve/test_duties.py
@@ -9,21 +9,21 @@
 
 from tests.serve.fleet import CALLS, PlatformFleet, bearer, wait_for
 from tests.serve.usage import (
-    APART_S,
-    CALL_EACH_S,
+    CALL_INTERVAL_S,
     KEYS,
-    LATE_S,
+    MAX_REPORT_DELAY_S,
+    MIN_ALTERNATION_S,
     WINDOW_S,
     Callers,
-    began,
-    box_of,
     check,
-    first_told,
+    current_window,
+    first_report_delays,
+    gateway_named,
     holder,
     reported,
+    started_counts,
     usage,
     wait_for_windows,
-    window_now,
 )
 
 
@@ -42,36 +42,38 @@
 
 
 def test_each_window_is_reported_in_time_as_endpoints_counted_it(fleet):
-    first = window_now() + 1
+    first = current_window() + 1
     wait_for_windows(fleet, first, 4)
     check(fleet, first, 4)
     late = [row["at"] - (row["window"] + 1) * WINDOW_S for row in usage(fleet)]
-    assert max(late) < LATE_S
+    assert max(late) < MAX_REPORT_DELAY_S
     assert len({row["holder"] for row in fleet.cloud.taken}) == 1
 
 
 def test_a_killed_holder_is_succeeded_in_time(fleet):
     wait_for(lambda: holder(fleet), "a holder")
-    first = window_now() + 1
+    first = current_window() + 1
     time.sleep(WINDOW_S)
-    killed = box_of(fleet, holder(fleet))
+    killed = gateway_named(fleet, holder(fleet))
     killed.kill()
     wait_for_windows(fleet, first, 6)
-    assert fleet.cloud.broken(APART_S) == []
+    assert fleet.cloud.broken(MIN_ALTERNATION_S) == []
     assert holder(fleet) != killed.name
-    assert max(first_told(fleet).values()) < LATE_S
+    assert max(first_report_delays(fleet).values()) < MAX_REPORT_DELAY_S
     told = reported(fleet)
     # Counts of the killed holder since it was last polled, at most 1 s before, are lost.
     for window in range(first, first + 6):
-        expected, reported_count = sum(began(fleet, window).values()), sum(told[window].values())
+        expected, reported_count = sum(started_counts(fleet, window).values()), sum(
+            told[window].values()
+        )
         assert reported_count <= expected + 2
-        assert reported_count >= expected - 1.2 / CALL_EACH_S * 2 / 3
+        assert reported_count >= expected - 1.2 / CALL_INTERVAL_S * 2 / 3
 
 
 def test_a_planned_stop_hands_the_duties_over_and_loses_no_request(fleet):
     wait_for(lambda: holder(fleet), "a holder")
-    first = window_now() + 1
-    stopped = box_of(fleet, holder(fleet))
+    first = current_window() + 1
+    stopped = gateway_named(fleet, holder(fleet))
     stopped.stop()
     wait_for_windows(fleet, first, 6)
     check(fleet, first, 6)
@@ -80,20 +82,20 @@
 
 def test_a_holder_that_was_suspended_sends_nothing_outdated(fleet):
     wait_for(lambda: holder(fleet), "a holder")
-    suspended = box_of(fleet, holder(fleet))
+    suspended = gateway_named(fleet, holder(fleet))
     suspended.process.send_signal(signal.SIGSTOP)
     try:
         wait_for(lambda: holder(fleet) != suspended.name, "another holder")
     finally:
         suspended.process.send_signal(signal.SIGCONT)
-    first = window_now() + 2
+    first = current_window() + 2
     wait_for_windows(fleet, first, 3)
     check(fleet, first, 3)
 
 
 def test_an_interface_that_rejects_loses_responses_and_is_down_gets_each_window_once(fleet):
     wait_for(lambda: holder(fleet), "a holder")
-    first = window_now() + 1
+    first = current_window() + 1
     fleet.cloud.faults.update(turn_away=2, lose=2)
     wait_for_windows(fleet, first, 2)
     fleet.cloud.faults["outage"] = True
@@ -106,7 +108,7 @@
 def test_an_unresponsive_interface_delays_nothing_else(fleet):
     wait_for(lambda: holder(fleet), "a holder")
     fleet.cloud.faults["hold_s"] = 5.0
-    box = box_of(fleet, holder(fleet))
+    box = gateway_named(fleet, holder(fleet))
     deadline = time.monotonic() + 2 * WINDOW_S
     while time.monotonic() < deadline:
         started_at = time.monotonic()
@@ -136,7 +138,7 @@
     first = orders(fleet)[0]
     assert (first["backend"], first["zone"], first["holder"]) == ("calls", "a", holder(fleet))
     assert all(3 <= row["desired"] <= 5 for row in orders(fleet))
-    assert fleet.cloud.broken(APART_S) == []
+    assert fleet.cloud.broken(MIN_ALTERNATION_S) == []
 
 
 def orders(fleet) -> list[dict]:
--- a/tests/serve/test_hosting.py
+++ b/tests/serve/test_hosting.py
@@ -55,7 +55,7 @@
 
 def test_a_version_is_loaded_by_one_holder_per_engine_without_sidecar(fleet_without_sidecars):
     fleet, _ = fleet_without_sidecars
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: all(engine.versions["m"] == 2 for engine in fleet.engines), "loaded", 20.0)
     for engine in fleet.engines:
         assert len(set(orders(engine))) == 1
@@ -94,14 +94,14 @@
 def test_the_engine_lock_is_taken_over_and_back_with_rising_fencing_tokens(fleet_without_sidecars):
     """A sidecar starts during a load that a gateway ordered."""
     fleet, sidecars = fleet_without_sidecars
-    fleet.name_version(2)
+    fleet.publish_version(2)
     for engine in fleet.engines:
         engine.faults["load_s"] = 1.0
     wait_for(lambda: all(engine.orders for engine in fleet.engines), "ordered", 20.0)
     for sidecar in sidecars:
         sidecar.start()
     wait_for(lambda: all(box.lines("engine_start") for box in sidecars), "sidecars have started")
-    fleet.name_version(3)
+    fleet.publish_version(3)
     wait_for(lambda: all(engine.versions["m"] == 3 for engine in fleet.engines), "loaded", 25.0)
     for engine in fleet.engines:
         tokens = [fence for _, fence in orders(engine)]
--- a/tests/serve/test_keys_taken_away.py
+++ b/tests/serve/test_keys_taken_away.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, bearer, wait_for
-from tests.serve.way import put_before
+from tests.serve.tcp_proxy import proxy_store
 
 OLD, NEW, OTHER = "acme-key-0123456789", "acme-next-012345678", "rival-key-987654321"
 BEFORE = {"acme": (OLD, NEW), "rival": (OTHER,)}
@@ -25,7 +25,7 @@
     def start(**bounds):
         fleet = PlatformFleet(tmp_path, serve, gateways=3, engines=1)
         fleet.configure(version=4, organisations=BEFORE)
-        ways = [put_before(gateway, fleet.store_address) for gateway in fleet.gateways]
+        ways = [proxy_store(gateway, fleet.store_address) for gateway in fleet.gateways]
         for gateway in fleet.gateways:
             gateway.settings["bounds"] |= bounds
             gateway.write()
@@ -77,7 +77,7 @@
 
 def test_a_key_is_revoked_everywhere_in_time_also_if_a_gateway_cannot_reach_the_store(make):
     fleet, ways = make()
-    ways[1].shut()
+    ways[1].block()
     time.sleep(1.0)
     probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(0.5)
@@ -93,7 +93,7 @@
 
 def test_a_gateway_that_starts_meanwhile_accepts_no_revoked_key_and_refuses_no_valid_one(make):
     fleet, ways = make()
-    ways[0].shut()
+    ways[0].block()
     time.sleep(1.0)
     probe = KeyProbe(fleet.gateways[2])
     fleet.gateways[2].kill()
@@ -111,8 +111,8 @@
 def test_callers_stay_served_while_the_store_is_unresponsive_for_all(make):
     fleet, ways = make()
     for way in ways:
-        way.silence()
-        way.shut()
+        way.blackhole()
+        way.block()
     probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(6.5)
     for probe in probes:
@@ -133,7 +133,7 @@
         sidecar.kill()
     shut_at = time.monotonic()
     for way in ways:
-        way.shut()
+        way.block()
     time.sleep(4.0)
     for probe in probes:
         probe.stop()
@@ -145,7 +145,7 @@
     """A relayed path counts as much as its own; refusing would reject valid callers."""
     fleet, ways = make(revokeStrict=True, revokeMs=2500, contactMs=2000)
     for way in ways:
-        way.shut()
+        way.block()
     probes = [KeyProbe(gateway) for gateway in fleet.gateways]
     time.sleep(2.0)
     revoked_at = time.monotonic()
--- a/tests/serve/test_lots.py
+++ b/tests/serve/test_lots.py
@@ -212,7 +212,7 @@
 
 
 def test_a_published_version_is_loaded_once_and_labels_its_results(fleet):
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: all(one.versions["m"] == 2 for one in fleet.engines), "version 2 loaded")
     assert [len(engine.orders) for engine in fleet.engines] == [1, 1]
     fleet.hand_in(fleet.gateways[0], "lot1", min_version=2)
--- a/tests/serve/test_restarts.py
+++ b/tests/serve/test_restarts.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.serve.fleet import PlatformFleet, is_engine, wait_for
-from tests.serve.way import Way, serve_behind
+from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 
 SAMPLES = 8
 RECOVERY_S = 2.5  # a report each 0.2 s, a change of the entry, and a round of dispatching
@@ -26,8 +26,8 @@
 @pytest.fixture
 def behind_ways(tmp_path, serve):
     """Start a fleet with one engine that is reached through a proxy which can be partitioned."""
-    made: list[Way] = []
-    fleet = PlatformFleet(tmp_path, serve_behind(serve, made, is_engine), engines=1)
+    made: list[TcpProxy] = []
+    fleet = PlatformFleet(tmp_path, serve_behind_proxy(serve, made, is_engine), engines=1)
     (engine,) = fleet.engines
     engine.born = START_TIME_MS
     fleet.register(engine.instance, "engines", made[0].address, born=START_TIME_MS)
@@ -68,7 +68,7 @@
     fleet, way = behind_ways
     (engine,) = fleet.engines
     engine.faults["load_s"] = 3.0
-    fleet.name_version(2)
+    fleet.publish_version(2)
     wait_for(lambda: engine.orders, "a load is ordered")
     engine.faults["load_s"] = 0.1
     restart_engine(fleet, way)
@@ -81,7 +81,7 @@
     fleet, way = behind_ways
     begin_lot(fleet)
     time.sleep(0.5)
-    way.silence()
+    way.blackhole()
     restart_engine(fleet, way)
     before = len(fleet.engines[0].runs)
     wait_for(lambda: len(fleet.engines[0].runs) > before, "samples are resumed", RECOVERY_S)
--- a/tests/serve/test_silent.py
+++ b/tests/serve/test_silent.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.serve.fleet import CALLS, PlatformFleet, wait_for
-from tests.serve.way import Way, put_before
+from tests.serve.tcp_proxy import TcpProxy, proxy_store
 
 CONTACT_S = 3.0  # so long after a disturbance the platform's bounds apply to a box again
 DRAIN_S = 2.0  # a draining endpoint must get no new requests after this time
@@ -24,11 +24,11 @@
 @pytest.fixture
 def silenced(tmp_path, serve):
     """Start a fleet whose processes reach the store through proxies that can drop all data."""
-    made: list[Way] = []
+    made: list[TcpProxy] = []
     fleet = PlatformFleet(tmp_path, serve)
     try:  # a failed setup must not leave processes behind either
         for box in fleet.boxes:
-            made.append(put_before(box, fleet.store_address))
+            made.append(proxy_store(box, fleet.store_address))
         fleet.start()
         for gateway in fleet.gateways:
             wait_for(lambda box=gateway: send_request(box).status == 200, f"{gateway.name} serves")
@@ -46,7 +46,7 @@
 def test_a_draining_endpoint_gets_no_requests_though_open_connections_are_dead(silenced):
     fleet, made = silenced
     for way in made:
-        way.silence()
+        way.blackhole()
     dead_since = time.monotonic()
     address = fleet.callee_address
     fleet.register("i-c0", "calls", address, state="draining")
@@ -59,7 +59,7 @@
 def silence_connections(made, rested_s: float = 0.0) -> float:
     """Silence open connections; return when the platform's bounds apply to the boxes again."""
     for way in made:
-        way.silence(rested_s)
+        way.blackhole(rested_s)
     return time.monotonic() + CONTACT_S
 
 
--- a/tests/serve/test_silent_engine.py
+++ b/tests/serve/test_silent_engine.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.serve.fleet import PlatformFleet, is_engine, wait_for
-from tests.serve.way import Way, serve_behind
+from tests.serve.tcp_proxy import TcpProxy, serve_behind_proxy
 
 RESUME_S = 2.0  # in which each sample is resumed; the platform's bounds apply after 3 s
 SAMPLES = 8
@@ -23,9 +23,9 @@
 @pytest.fixture
 def behind_ways(tmp_path, serve):
     """Start a fleet whose engines are reached through proxies that can drop all data."""
-    made: list[Way] = []
+    made: list[TcpProxy] = []
 
-    fleet = PlatformFleet(tmp_path, serve_behind(serve, made, is_engine))
+    fleet = PlatformFleet(tmp_path, serve_behind_proxy(serve, made, is_engine))
     try:  # a failed setup must not leave processes behind either
         fleet.start()
         yield fleet, made
@@ -53,7 +53,7 @@
     begin_lot(fleet)
     before = {engine.instance: sorted(run["id"] for run in engine.runs) for engine in fleet.engines}
     for way in made:
-        way.silence()
+        way.blackhole()
     time.sleep(RESUME_S)
     for engine in fleet.engines:
         again = [run for run in engine.runs if run["after"]]
@@ -67,7 +67,7 @@
     begin_lot(fleet)
     fleet.whole(fleet.gateways[0], "lot1")
     for way in made:
-        way.silence()
+        way.blackhole()
     time.sleep(RESUME_S)
     for sidecar in fleet.sidecars:
         assert not sidecar.lines("engine_lost")
--- a/tests/serve/test_soak.py
+++ b/tests/serve/test_soak.py
@@ -19,8 +19,8 @@
         broken = soak.run(SECONDS)
         print(*broken, sep="\n")  # the assertion message shows the first ones only
         assert broken == []
-        assert soak.taken, "no lot was accepted"
+        assert soak.accepted, "no lot was accepted"
         assert soak.answered, "no call was answered"
     finally:
-        print(soak.told())
+        print(soak.summary())
         soak.close()
