--- a/src/threadramp/edge/attempts.py
+++ b/src/threadramp/edge/attempt_loop.py
@@ -5,11 +5,11 @@
 import select
 from typing import TYPE_CHECKING
 
+from threadramp.edge.connection_breaks import Signs
 from threadramp.edge.crash_guard import CrashGuard
 from threadramp.edge.exchange import ExchangeError
 from threadramp.edge.holding import Holding
 from threadramp.edge.job import Ending, Outcome, has_ended
-from threadramp.edge.signs import Signs
 from threadramp.edge.tries import Tries
 from threadramp.platform.headers import to_endpoint
 from threadramp.policy.connection_share import idle_share
@@ -20,8 +20,8 @@
     from collections.abc import Set
 
     from threadramp.duties.collecting import UsageCounting
-    from threadramp.edge.connections import Connections
-    from threadramp.edge.exchange import Answer, Exchange
+    from threadramp.edge.connection_pool import ConnectionPool
+    from threadramp.edge.exchange import EndpointResponse, Exchange
     from threadramp.edge.job import Job
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Endpoint, Start
@@ -46,7 +46,7 @@
     def __init__(
         self,
         picture: Picture,
-        connections: Connections,
+        connections: ConnectionPool,
         choice: EndpointChoice,
         budget: RetryBudget,
         clock: Clock,
@@ -61,18 +61,18 @@
         self.counting = counting
         self.guard = guard or CrashGuard(CrashBook(), clock, picture)
 
-    def forget_gone(self) -> None:
+    def drop_unlisted(self) -> None:
         """Drop what is kept of starts that are not listed any more."""
         starts = {one.start for one in self.picture.belief.endpoints.values()}
-        self.connections.forget(starts)
+        self.connections.retain_only(starts)
         self.choice.forget(starts)
 
-    def keep(self, exchange: Exchange, answer: Answer) -> None:
+    def keep(self, exchange: Exchange, answer: EndpointResponse) -> None:
         """Keep a connection for the next request, within this gateway's share."""
         belief = self.picture.belief
         pool = belief.pool(exchange.endpoint.pool)
         most = idle_share(pool.max_connections, len(belief.gateways()))
-        self.connections.keep(exchange, answer, self.clock.now(), most)
+        self.connections.release(exchange, answer, self.clock.now(), most)
 
 
 class Attempts:
@@ -123,11 +123,11 @@
 
     def caller_has_left(self) -> bool:
         """Return whether the caller left while its request waited to be read."""
-        return self.job.caller is not None and has_ended(self.job.caller)
+        return self.job.caller_socket is not None and has_ended(self.job.caller_socket)
 
     def headers(self, time_left: float, instance: str) -> dict[str, str]:
         """Return the headers with which the job goes to an endpoint."""
-        return to_endpoint(self.job.headers, time_left, instance, self.job.who.organisation)
+        return to_endpoint(self.job.headers, time_left, instance, self.job.identity.organisation)
 
     def next_try(self) -> Outcome | None:
         """Send to one more endpoint, or end if there is none."""
@@ -172,14 +172,14 @@
         :param on_new: whether it takes a new connection though others are kept
         """
         now = self.now()
-        left = self.job.until - now
+        left = self.job.deadline - now
         if left <= 0.0:  # the process stood still since it looked whether there was time
             return
         self.tries.sent_at[endpoint.start] = now
         ident = self.job.request_id
         on_new = on_new or not ident  # nothing would tell its answer from a second one before it
         try:
-            exchange = self.parts.connections.open(endpoint, now, left, on_new, ident)
+            exchange = self.parts.connections.acquire(endpoint, now, left, on_new, ident)
         except ExchangeError as error:
             self.endpoint_failed(endpoint, error, ran=False)
             return
@@ -199,13 +199,13 @@
         """Count the job as begun at an endpoint, for the usage of its organisation."""
         if self.parts.counting is not None:
             self.tries.begun_at[endpoint.start] = at
-            self.parts.counting.began(self.job.who.organisation, at)
+            self.parts.counting.began(self.job.identity.organisation, at)
 
     def not_begun(self, endpoint: Endpoint) -> None:
         """Take that back: the endpoint said so, or it never saw the job."""
         at = self.tries.begun_at.pop(endpoint.start, None)
         if at is not None:
-            self.parts.counting.did_not_begin(self.job.who.organisation, at)
+            self.parts.counting.did_not_begin(self.job.identity.organisation, at)
 
     def closed(self, exchange: Exchange) -> None:
         """Note that an exchange is over."""
@@ -260,7 +260,7 @@
         if not self.parts.guard.broke(self.job, endpoint, signs):
             return False
         self.tries.ended.add(endpoint.start)
-        self.parts.connections.forget_one(endpoint.start)
+        self.parts.connections.close_idle(endpoint.start)
         return True
 
     def note_failure(
@@ -289,7 +289,7 @@
     def _connection_stale(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
         """Note that a kept connection was closed; the endpoint may be asked on a new one."""
         self.not_begun(endpoint)
-        self.parts.connections.forget_one(endpoint.start)  # the others rested as long
+        self.parts.connections.close_idle(endpoint.start)  # the others rested as long
         self.tries.may_have_run |= ran
         log_state(
             "connection_stale",
@@ -315,7 +315,7 @@
         return Outcome(ending, retry_after_s=again_s)
 
     def _turn(self) -> Outcome | None:
-        if self.now() >= self.job.until - ANSWER_MARGIN_S:
+        if self.now() >= self.job.deadline - ANSWER_MARGIN_S:
             return self.given_up(Ending.TIME_OVER)
         if not self.tries.open:
             outcome = self._held_back() or self.next_try()
@@ -324,7 +324,7 @@
         return self.await_answer()
 
     def _pause(self, seconds: float) -> Outcome | None:
-        caller = self.job.caller
+        caller = self.job.caller_socket
         if caller is None:
             select.select([], [], [], seconds)
             return None
--- a/src/threadramp/edge/caller_stream.py
+++ b/src/threadramp/edge/caller_stream.py
@@ -6,7 +6,7 @@
 
 from urllib3.exceptions import HTTPError
 
-from threadramp.edge.exchange import body_pieces, is_broken
+from threadramp.edge.exchange import is_connection_error, iter_body
 from threadramp.platform.headers import resume_after, to_caller
 from threadramp.report.log import log_state
 from threadramp.runner.events import EventReader
@@ -87,12 +87,12 @@
         instance = exchange.endpoint.instance
         try:
             exchange.connection.sock.settimeout(patience_s())
-            for data in body_pieces(response):
+            for data in iter_body(response):
                 for event in reader.feed(data):
                     self._pass_one(event, instance)
                 exchange.connection.sock.settimeout(patience_s())
         except (OSError, HTTPError, ValueError, AttributeError) as error:
-            raise StreamBrokenError(instance, repr(error), is_broken(error)) from error
+            raise StreamBrokenError(instance, repr(error), is_connection_error(error)) from error
         if not reader.is_between_events:
             raise StreamBrokenError(instance, "it stopped within an event", broken=True)
 
--- a/src/threadramp/edge/signs.py
+++ b/src/threadramp/edge/connection_breaks.py
@@ -9,7 +9,7 @@
 from threading import Lock
 from typing import TYPE_CHECKING
 
-from threadramp.edge.endpoint_probe import EndpointState, look_at
+from threadramp.edge.endpoint_probe import EndpointState, probe_endpoint
 from threadramp.fleet.clock import steady_s
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     took_s: float
 
 
-def timed_look(address: str, look: Callable[[str], EndpointState] = look_at) -> Look:
+def timed_probe(address: str, look: Callable[[str], EndpointState] = probe_endpoint) -> Look:
     """Look at an endpoint and return how long it took to show what it did.
 
     Where it breaks a connection it is looked at once more, and the longer look counts.
@@ -109,4 +109,4 @@
                 self.answered.discard(start)
 
 
-__all__ = ["Breaking", "Look", "Signs", "timed_look"]
+__all__ = ["Breaking", "Look", "Signs", "timed_probe"]
--- a/src/threadramp/edge/connections.py
+++ b/src/threadramp/edge/connection_pool.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.edge.exchange import Answer
+    from threadramp.edge.exchange import EndpointResponse
     from threadramp.fleet.model import Endpoint, Start
 
 CONNECT_TIMEOUT_S = 0.3  # a sound endpoint answers within a few ms, across regions within tens
@@ -34,7 +34,7 @@
     until: float
 
 
-class Connections:
+class ConnectionPool:
     """Opens, keeps and hands out connections to endpoints.
 
     :param count: counts by kind and label
@@ -46,21 +46,21 @@
         self.opened = 0
         self.count = count
 
-    def open(
+    def acquire(
         self,
         endpoint: Endpoint,
         now: float,
         timeout_s: float,
-        on_new: bool = False,
-        ident: str = "",
+        force_new: bool = False,
+        request_id: str = "",
     ) -> Exchange:
         """Return an exchange on a kept or a new connection.
 
-        :param on_new: whether kept ones are left alone, since they may pass nothing any more
-        :param ident: id of the request; a connection that carried it may bring its answer again
+        :param force_new: whether kept ones are left alone, since they may pass nothing any more
+        :param request_id: a connection that carried this request may bring its answer again
         :raises ExchangeError: if the endpoint can not be reached
         """
-        kept = None if on_new else self._kept(endpoint, now, ident)
+        kept = None if force_new else self._kept(endpoint, now, request_id)
         first_s = min(CONNECT_TIMEOUT_S, timeout_s)  # to connect, and to send the request
         if kept is not None:
             kept.timeout = first_s
@@ -77,7 +77,9 @@
             self.opened += 1
         return Exchange(endpoint, connection, False)
 
-    def keep(self, exchange: Exchange, answer: Answer, now: float, most: int = 1) -> None:
+    def release(
+        self, exchange: Exchange, answer: EndpointResponse, now: float, most: int = 1
+    ) -> None:
         """Keep the connection of an exchange whose answer was read whole.
 
         :param most: connections that may be kept to this endpoint
@@ -102,24 +104,24 @@
                 return
         exchange.connection.close()
 
-    def forget(self, starts: set[Start]) -> None:
+    def retain_only(self, starts: set[Start]) -> None:
         """Close the kept connections of all starts but these."""
         for gone in [one for one in list(self.idle) if one not in starts]:
-            self.forget_one(gone)
+            self.close_idle(gone)
 
-    def forget_one(self, start: Start) -> None:
+    def close_idle(self, start: Start) -> None:
         """Close the kept connections of one start of an endpoint."""
         with self.lock:
             row = self.idle.pop(start, ())
         for idle in row:
             idle.connection.close()
 
-    def _kept(self, endpoint: Endpoint, now: float, ident: str) -> EndpointConnection | None:
+    def _kept(self, endpoint: Endpoint, now: float, request_id: str) -> EndpointConnection | None:
         """Take a kept connection that did not carry an id, none if there is none."""
         while True:
             with self.lock:
                 row = self.idle.get(endpoint.start, deque())
-                fitting = (one for one in reversed(row) if ident not in one.connection.carried)
+                fitting = (one for one in reversed(row) if request_id not in one.connection.carried)
                 idle = next(fitting, None)
                 if idle is None:
                     return None
@@ -155,7 +157,7 @@
     return bool(poll.poll(0))
 
 
-def _idle_s(answer: Answer) -> float:
+def _idle_s(answer: EndpointResponse) -> float:
     """Return the seconds for which a connection is used again, by what the endpoint names."""
     for name, value in answer.headers:
         if name.lower() == "keep-alive":
@@ -165,4 +167,4 @@
     return IDLE_S
 
 
-__all__ = ["Connections", "is_readable"]
+__all__ = ["ConnectionPool", "is_readable"]
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -15,9 +15,9 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
+from threadramp.edge.connection_breaks import Breaking, Look, timed_probe
 from threadramp.edge.end_watch import EndWatch
-from threadramp.edge.endpoint_probe import EndpointState, look_at
-from threadramp.edge.signs import Breaking, Look, timed_look
+from threadramp.edge.endpoint_probe import EndpointState, probe_endpoint
 from threadramp.policy.crash_book import FREE, Ruling, Verdict
 from threadramp.policy.fingerprint import shown
 from threadramp.policy.hidden_ends import Break, may_have_ended
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from threadramp.edge.connection_breaks import Signs
     from threadramp.edge.job import Job
-    from threadramp.edge.signs import Signs
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Endpoint, Start
     from threadramp.fleet.picture import Picture
@@ -51,7 +51,7 @@
         picture: Picture,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
         count: Callable[[str, str], None] = lambda kind, label: None,
-        look: Callable[[str], EndpointState] = look_at,
+        look: Callable[[str], EndpointState] = probe_endpoint,
     ) -> None:
         self.book = book
         self.clock = clock
@@ -65,7 +65,7 @@
         self.apart: set[Start] = set()
         self.lock = threading.Lock()
 
-    def ruling(self, fingerprint: Callable[[], bytes]) -> Ruling:
+    def assess(self, fingerprint: Callable[[], bytes]) -> Ruling:
         """Return what holds for a request.
 
         :param fingerprint: works out what stands for it
@@ -79,7 +79,7 @@
 
         :param name: the request's id or the sample's
         """
-        ruling = self.ruling(fingerprint)
+        ruling = self.assess(fingerprint)
         if ruling.verdict is not Verdict.REFUSED:
             return ruling
         key = fingerprint()
@@ -129,12 +129,12 @@
         if look.state is not EndpointState.ENDED and not held:
             return False
         if not self._left(endpoint):
-            self.ended_under(job.request_id, job.fingerprint, start, listens)
+            self.record_crash(job.request_id, job.fingerprint, start, listens)
             if listens:
                 self.ends.watch(start, endpoint.address, job.fingerprint)
         return True
 
-    def ended_under(
+    def record_crash(
         self, name: str, fingerprint: bytes, start: Start, listens: bool = False
     ) -> None:
         """Note that a start of an endpoint ended while a request was open there.
@@ -153,7 +153,7 @@
             listens=listens,
         )
 
-    def answered(self, fingerprint: Callable[[], bytes], start: Start) -> None:
+    def record_response(self, fingerprint: Callable[[], bytes], start: Start) -> None:
         """Note an answer: the endpoint lives, and the request ran there without ending it."""
         self.breaking.note_answer(start)
         if self.book.is_empty:
@@ -201,7 +201,7 @@
             look, at = self.looked.get(endpoint.start, (None, float("-inf")))
         if look is not None and now - at <= LOOKED_S:
             return look
-        look = timed_look(endpoint.address, self.look)
+        look = timed_probe(endpoint.address, self.look)
         with self.lock:
             self.looked = {
                 start: row for start, row in self.looked.items() if now - row[1] <= LOOKED_S
--- a/src/threadramp/edge/caller_watch.py
+++ b/src/threadramp/edge/disconnect_watcher.py
@@ -21,7 +21,7 @@
 LOOK_S = 0.1  # work for a caller that has left may go on for half a second on the users' sheets
 
 
-class CallerWatch:
+class DisconnectWatcher:
     """Ends the exchange of each caller that has left."""
 
     def __init__(self) -> None:
@@ -83,4 +83,4 @@
         return
 
 
-__all__ = ["CallerWatch"]
+__all__ = ["DisconnectWatcher"]
--- a/src/threadramp/edge/endpoint_probe.py
+++ b/src/threadramp/edge/endpoint_probe.py
@@ -35,7 +35,7 @@
     UNKNOWN = "unknown"
 
 
-def look_at(address: str, timeout_s: float = LOOK_S, asks: bool = True) -> EndpointState:
+def probe_endpoint(address: str, timeout_s: float = LOOK_S, asks: bool = True) -> EndpointState:
     """Return whether the process that listens at an address answers.
 
     :param asks: whether to request its report; a plain service of our own interface has none and
@@ -59,7 +59,7 @@
 
 def probe_without_request(address: str) -> EndpointState:
     """Probe an endpoint by a new connection on which nothing is sent."""
-    return look_at(address, asks=False)
+    return probe_endpoint(address, asks=False)
 
 
 def _probe_silently(connection: socket.socket, wait_s: float) -> EndpointState:
@@ -114,4 +114,4 @@
         return 0
 
 
-__all__ = ["LOOK_S", "EndpointState", "born_at", "look_at", "probe_without_request"]
+__all__ = ["LOOK_S", "EndpointState", "born_at", "probe_endpoint", "probe_without_request"]
--- a/src/threadramp/edge/exchange.py
+++ b/src/threadramp/edge/exchange.py
@@ -40,8 +40,8 @@
 
     :param sent: whether the request may have reached the endpoint
     :param stale: whether a kept connection was found closed; that says nothing of the endpoint
-    :param late: whether no head of an answer came in time
-    :param silent: whether that was on a kept connection; it may pass nothing any more
+    :param timed_out: whether no head of an answer came in time
+    :param unresponsive: whether that was on a kept connection; it may pass nothing any more
     :param broken: whether the other end closed or reset the connection while an answer was owed
     :param nobody: whether its box says that nobody listens there
     """
@@ -51,22 +51,22 @@
         sent: bool,
         reason: str,
         stale: bool = False,
-        silent: bool = False,
+        unresponsive: bool = False,
         broken: bool = False,
         nobody: bool = False,
-        late: bool = False,
+        timed_out: bool = False,
     ) -> None:
         self.sent = sent
         self.stale = stale
-        self.silent = silent
+        self.unresponsive = unresponsive
         self.broken = broken
         self.nobody = nobody
-        self.late = late
+        self.timed_out = timed_out
         super().__init__(reason)
 
 
 @dataclass(frozen=True)
-class Answer:
+class EndpointResponse:
     """A whole answer of an endpoint."""
 
     head: AnswerHead
@@ -117,7 +117,7 @@
             )
         except (OSError, HTTPError) as error:
             self.close()
-            stale, broken = self._is_stale(error), is_broken(error)
+            stale, broken = self._is_stale(error), is_connection_error(error)
             raise ExchangeError(True, repr(error), stale, broken=broken) from error
 
     def response(self, timeout_s: float) -> BaseHTTPResponse:
@@ -130,16 +130,16 @@
         except UNREADABLE as error:
             self.close()
             late = isinstance(error, TimeoutError)
-            stale, broken = self._is_stale(error), is_broken(error)
+            stale, broken = self._is_stale(error), is_connection_error(error)
             raise ExchangeError(
-                True, repr(error), stale, self.reused and late, broken, late=late
+                True, repr(error), stale, self.reused and late, broken, timed_out=late
             ) from error
         if response.status < FINAL_STATUS:  # the library waits behind one kind of these alone
             self.close()
             raise ExchangeError(True, f"status {response.status} is not final")
         return response
 
-    def own_response(self, timeout_s: float) -> BaseHTTPResponse:
+    def read_own_head(self, timeout_s: float) -> BaseHTTPResponse:
         """Return the first response that repeats none to an earlier request.
 
         :raises ExchangeError: if none came
@@ -185,14 +185,14 @@
         """Return whether a kept connection broke before a byte of an answer came."""
         return self.reused and isinstance(error, (ConnectionError, ProtocolError))
 
-    def read(self, timeout_s: float) -> Answer:
+    def read(self, timeout_s: float) -> EndpointResponse:
         """Read the whole answer.
 
         :raises ExchangeError: if it is not whole
         """
         return self.rest(self.response(timeout_s))
 
-    def rest(self, response: BaseHTTPResponse) -> Answer:
+    def rest(self, response: BaseHTTPResponse) -> EndpointResponse:
         """Read the body of an answer whose head was read.
 
         :raises ExchangeError: if it is not whole
@@ -201,7 +201,7 @@
             body = response.read(decode_content=False)
         except UNREADABLE as error:
             self.close()
-            raise ExchangeError(True, repr(error), broken=is_broken(error)) from error
+            raise ExchangeError(True, repr(error), broken=is_connection_error(error)) from error
         if self.connection.holds_another(body):
             self.close()
             self.log("answer_mixed", status=response.status)
@@ -243,12 +243,12 @@
         self.connection.close()
 
 
-def is_broken(error: BaseException) -> bool:
+def is_connection_error(error: BaseException) -> bool:
     """Return whether an error says that the other end closed or reset a connection."""
     return isinstance(error, (ConnectionError, ProtocolError))
 
 
-def body_pieces(response: BaseHTTPResponse) -> Iterator[bytes]:
+def iter_body(response: BaseHTTPResponse) -> Iterator[bytes]:
     """Yield the bytes of a body as they come."""
     if response.chunked:
         yield from response.read_chunked(PIECE_BYTES, decode_content=False)
@@ -257,22 +257,22 @@
         yield data
 
 
-def streamed_answer(response: BaseHTTPResponse) -> Answer:
+def streamed_response(response: BaseHTTPResponse) -> EndpointResponse:
     """Return an answer whose body was taken piece by piece."""
     return _answer(response, b"")
 
 
-def _answer(response: BaseHTTPResponse, body: bytes) -> Answer:
+def _answer(response: BaseHTTPResponse, body: bytes) -> EndpointResponse:
     headers = tuple(response.headers.iteritems())
     head = read_answer(response.status, response.headers)
-    return Answer(head, response.reason or "", headers, body)
+    return EndpointResponse(head, response.reason or "", headers, body)
 
 
 __all__ = [
-    "Answer",
+    "EndpointResponse",
     "Exchange",
     "ExchangeError",
-    "body_pieces",
-    "is_broken",
-    "streamed_answer",
+    "iter_body",
+    "is_connection_error",
+    "streamed_response",
 ]
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -5,7 +5,7 @@
 import select
 from typing import TYPE_CHECKING
 
-from threadramp.edge.attempts import ANSWER_MARGIN_S, Attempts, EndpointAccess
+from threadramp.edge.attempt_loop import ANSWER_MARGIN_S, Attempts, EndpointAccess
 from threadramp.edge.exchange import ExchangeError
 from threadramp.edge.job import Ending, Outcome, has_ended
 from threadramp.platform.headers import read_answer
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from urllib3 import BaseHTTPResponse
 
-    from threadramp.edge.exchange import Answer, Exchange
+    from threadramp.edge.exchange import EndpointResponse, Exchange
     from threadramp.edge.job import Job
     from threadramp.fleet.model import Endpoint
 
@@ -53,7 +53,7 @@
         by_descriptor = {exchange.fileno(): exchange for exchange in self.tries.open}
         for descriptor in by_descriptor:
             poll.register(descriptor, select.POLLIN)
-        caller = self.job.caller
+        caller = self.job.caller_socket
         if caller is not None:
             poll.register(caller.fileno(), select.POLLIN)
         ready = poll.poll(max(1, int(self._wait_s() * 1000)))
@@ -69,7 +69,7 @@
 
     def _wait_s(self) -> float:
         now = self.now()
-        wait = min(LOOK_S, self.job.until - ANSWER_MARGIN_S - now)
+        wait = min(LOOK_S, self.job.deadline - ANSWER_MARGIN_S - now)
         if len(self.tries.open) == 1:
             wait = min(wait, self.second_at - now)
         return max(0.001, wait)
@@ -87,7 +87,7 @@
             return
         if self.ruling().verdict is not Verdict.FREE:
             return  # it may end another endpoint beside the first
-        self.second_at = self.job.until  # asked once
+        self.second_at = self.job.deadline  # asked once
         chosen = self._for_second_try(tries.open[0])
         if chosen is not None and self.parts.budget.retry():
             on_new = tries.open[0].reused
@@ -116,10 +116,10 @@
         """Drop what is kept where a kept connection brought nothing and a new one an answer."""
         for late in self.tries.open:
             if late.reused:
-                self.parts.connections.forget_one(late.endpoint.start)
+                self.parts.connections.close_idle(late.endpoint.start)
 
     def _read(self, exchange: Exchange) -> Outcome | None:
-        left = max(0.05, min(READ_TIMEOUT_S, self.job.until - self.now()))
+        left = max(0.05, min(READ_TIMEOUT_S, self.job.deadline - self.now()))
         try:
             response = exchange.response(left)
             if exchange.skip(response):
@@ -147,7 +147,7 @@
         self.parts.keep(exchange, answer)
         return self._judge(endpoint, answer)
 
-    def _judge(self, endpoint: Endpoint, answer: Answer) -> Outcome | None:
+    def _judge(self, endpoint: Endpoint, answer: EndpointResponse) -> Outcome | None:
         head = answer.head
         if head.not_run:
             self.rejected(endpoint, head.status)
@@ -160,14 +160,16 @@
         self.parts.choice.answered(endpoint, head.load, self.now())
         return Outcome(Ending.ANSWERED, answer)
 
-    def _failed_answer(self, endpoint: Endpoint, answer: Answer, unsigned: bool) -> Outcome | None:
+    def _failed_answer(
+        self, endpoint: Endpoint, answer: EndpointResponse, unsigned: bool
+    ) -> Outcome | None:
         if unsigned:
             self.endpoint_failed(endpoint, ExchangeError(True, "no signature"), ran=True)
             return None
         self.tries.last_failure = answer
         error = ExchangeError(True, f"status {answer.head.status}")
         self.note_failure(endpoint, error, True, self.parts.choice.erred(endpoint, self.now()))
-        return None if self.job.repeats_errors else Outcome(Ending.ANSWERED, answer)
+        return None if self.job.retry_errors else Outcome(Ending.ANSWERED, answer)
 
 
 __all__ = ["Forwarder"]
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -92,15 +92,15 @@
             if request.raw.sent_headers:
                 request.cut()  # the server would end its pieces as if all had come
             else:
-                request.answer(500, close=True)
+                request.respond(500, close=True)
 
-    def answer_ready(self, request: CallerRequest) -> None:
+    def serve_ready(self, request: CallerRequest) -> None:
         """Say whether this gateway wants new connections."""
         if request.path != READY_PATH:
-            request.answer(404)
+            request.respond(404)
             return
         ready = self.picture.is_complete and not self.stopping
-        request.answer(200 if ready else 503)
+        request.respond(200 if ready else 503)
 
     def _serve(self, request: CallerRequest) -> None:
         started = request.arrived
@@ -114,7 +114,7 @@
         route = configuration.route_for(request.host, request.path)
         if route is None:
             log_state("no_route", host=request.host, path=request.path)
-            request.answer(404)
+            request.respond(404)
             return
         who = self._who(request, configuration, route.public)
         body = self._body(request, configuration.limits) if who is not None else None
@@ -143,7 +143,7 @@
             version=configuration.version,
         )
         self.metrics.count("answer", found.value)
-        request.answer(401, [CHALLENGE], close=self.stopping)
+        request.respond(401, [CHALLENGE], close=self.stopping)
         return None
 
     def _may_trust(self, request: CallerRequest, who: Caller) -> bool:
@@ -163,7 +163,7 @@
             return request.body(limits.body_bytes)
         except BodyTooLongError as error:
             log_state("body_too_long", request=request_id(request.headers), error=str(error))
-            request.answer(413, close=True)
+            request.respond(413, close=True)
         except OSError as error:
             log_state("body_not_read", request=request_id(request.headers), error=repr(error))
             request.drop()
@@ -183,9 +183,9 @@
             headers=tuple(request.headers.items()),
             body=body,
             route=route,
-            until=started + min(limits),
-            caller=request.socket,
-            who=who,
+            deadline=started + min(limits),
+            caller_socket=request.socket,
+            identity=who,
         )
         if route.kind is RouteKind.STREAM:
             outcome = self.streams.run(job, request, self.stopping)
@@ -201,14 +201,14 @@
     def _pass_on(
         self, request: CallerRequest, outcome: Outcome, route: Route, took: float, who: Caller
     ) -> None:
-        answer = outcome.answer
+        answer = outcome.response
         status = 0
         if outcome.ending is Ending.CALLER_GONE:
             request.drop()
         elif answer is not None:
             status = answer.head.status
             headers = to_caller(answer.headers)
-            request.answer(status, headers, answer.body, answer.reason, close=self.stopping)
+            request.respond(status, headers, answer.body, answer.reason, close=self.stopping)
         elif outcome.ending in (Ending.STREAMED, Ending.CUT):
             status = 200
         elif outcome.ending is Ending.NOT_RUN:
@@ -216,7 +216,7 @@
             self._answer_later(request, 503, outcome.retry_after_s)
         else:
             status = 504 if outcome.ending is Ending.TIME_OVER else 502
-            request.answer(status, close=self.stopping)
+            request.respond(status, close=self.stopping)
         log_state(
             "answered",
             request=request_id(request.headers),
@@ -231,13 +231,13 @@
     def _hand_in(self, request: CallerRequest, route: Route, body: bytes, who: Caller) -> None:
         lot_id = request_id(request.headers)
         if request.method != "POST" or not lot_id:
-            request.answer(400, body=b"a lot is handed in by POST, with an id")
+            request.respond(400, body=b"a lot is handed in by POST, with an id")
             return
         try:
             lot = read_lot(lot_id, request.host, request.path, body, who.organisation)
         except FindingsError as error:
             log_state("lot_unreadable", lot=lot_id, findings=[str(f) for f in error.findings])
-            request.answer(400, body=str(error).encode())
+            request.respond(400, body=str(error).encode())
             return
         try:
             self.owner.hand_in(lot, route, _patience_s(request))
@@ -246,10 +246,10 @@
         except StoreError as error:
             log_state("lot_unknown", lot=lot_id, error=str(error))
             self.metrics.count("lot", "unknown")
-            request.answer(504, close=self.stopping)
+            request.respond(504, close=self.stopping)
         else:
             self.metrics.count("lot", "taken")
-            request.answer(202, close=self.stopping)
+            request.respond(202, close=self.stopping)
 
     def _serve_call(self, request: CallerRequest, configuration: Configuration) -> None:
         """Answer a call about a lot; one of another organisation is as unknown as any."""
@@ -259,7 +259,7 @@
             return
         given = read_call(request.method, request.target)
         if given is None:
-            request.answer(404)
+            request.respond(404)
             return
         call = given.of(who.organisation)
         answers: dict[LotCallKind, Callable[[CallerRequest, LotCall], None]] = {
@@ -271,25 +271,25 @@
             answers[call.kind](request, call)
         except LotUnknownError:
             log_state("lot_missing", lot=call.lot, call=call.kind.value)
-            request.answer(404)
+            request.respond(404)
         except StoreError as error:
             self._refuse(request, 503, STORE_RETRY_S, f"{call.kind.value} {call.lot}: {error}")
 
     def _results(self, request: CallerRequest, call: LotCall) -> None:
         wait = min(MAX_WAIT_S, wait_s(request.headers))
         page = self.reader.results(call.lot, call.after, wait)
-        request.answer(200, [JSON], results_body(page.total, call.after, page.results))
+        request.respond(200, [JSON], results_body(page.total, call.after, page.results))
 
     def _sample_body(self, request: CallerRequest, call: LotCall) -> None:
         body = self.reader.body(call.lot, call.sample)
         if body is None:
-            request.answer(404)
+            request.respond(404)
         else:
-            request.answer(200, [("Content-Type", "application/octet-stream")], body)
+            request.respond(200, [("Content-Type", "application/octet-stream")], body)
 
     def _end(self, request: CallerRequest, call: LotCall) -> None:
         self.reader.end(call.lot)
-        request.answer(200)
+        request.respond(200)
 
     def _refuse(self, request: CallerRequest, status: int, after_s: float, reason: str) -> None:
         log_state(
@@ -303,7 +303,7 @@
         self._answer_later(request, status, after_s)
 
     def _answer_later(self, request: CallerRequest, status: int, after_s: float) -> None:
-        request.answer(status, [(RETRY_AFTER, f"{after_s:.2f}")], close=self.stopping)
+        request.respond(status, [(RETRY_AFTER, f"{after_s:.2f}")], close=self.stopping)
 
 
 def _patience_s(request: CallerRequest) -> float:
--- a/src/threadramp/edge/heads.py
+++ b/src/threadramp/edge/heads.py
@@ -13,7 +13,7 @@
 from cheroot.makefile import MakeFile, StreamReader
 from cheroot.server import HTTPConnection, HTTPRequest, HTTPServer
 
-from threadramp.edge.connections import is_readable
+from threadramp.edge.connection_pool import is_readable
 from threadramp.fleet.clock import steady_s
 from threadramp.fleet.model import CallerLimits
 from threadramp.report.log import log_state
@@ -142,7 +142,7 @@
         self.is_closing = False
         self.lock = threading.Lock()
 
-    def keep(self, limits: CallerLimits) -> None:
+    def set_limits(self, limits: CallerLimits) -> None:
         """Hold callers to these limits from now on."""
         self.limits = limits
         self.timeout = limits.idle_s + IDLE_MARGIN_S
@@ -168,7 +168,7 @@
         with self.lock:
             self.taken -= 1
 
-    def take_nothing_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Close connections on which a request comes from now on, without reading it."""
         with self.lock:
             self.is_closing = True
--- a/src/threadramp/edge/holding.py
+++ b/src/threadramp/edge/holding.py
@@ -40,11 +40,11 @@
         """
         if self.admitted.trial and not has_run:
             return self.admitted
-        return self.guard.ruling(self.fingerprint)
+        return self.guard.assess(self.fingerprint)
 
     def answered(self, start: Start) -> None:
         """Note an answer after which its endpoint lives on."""
-        self.guard.answered(self.fingerprint, start)
+        self.guard.record_response(self.fingerprint, start)
 
     def choose(
         self, pick: Callable[[Set[Start]], Endpoint | None], ruling: Ruling, is_last: bool
--- a/src/threadramp/edge/job.py
+++ b/src/threadramp/edge/job.py
@@ -8,13 +8,13 @@
 from functools import cached_property
 from typing import TYPE_CHECKING
 
-from threadramp.edge.connections import is_readable
+from threadramp.edge.connection_pool import is_readable
 from threadramp.platform.headers import caller_of
 from threadramp.policy.callers import ANYBODY
 from threadramp.policy.fingerprint import fingerprint
 
 if TYPE_CHECKING:
-    from threadramp.edge.exchange import Answer
+    from threadramp.edge.exchange import EndpointResponse
     from threadramp.fleet.model import Route
     from threadramp.policy.callers import Caller
 
@@ -36,10 +36,10 @@
     """A request to forward.
 
     :param target: path and query, as the caller sent them
-    :param until: time at which the caller gets a final answer in any case
-    :param caller: the caller's socket, watched for its end; none if nobody waits
-    :param repeats_errors: whether an answer 500 is tried elsewhere; else it is the answer
-    :param who: whose request it is
+    :param deadline: time at which the caller gets a final answer in any case
+    :param caller_socket: the caller's socket, watched for its end; none if nobody waits
+    :param retry_errors: whether an answer 500 is tried elsewhere; else it is the answer
+    :param identity: whose request it is
     """
 
     request_id: str
@@ -48,15 +48,15 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     route: Route
-    until: float
-    caller: socket.socket | None = None
-    repeats_errors: bool = True
-    who: Caller = ANYBODY
+    deadline: float
+    caller_socket: socket.socket | None = None
+    retry_errors: bool = True
+    identity: Caller = ANYBODY
 
     @cached_property
     def fingerprint(self) -> bytes:
         """Return what stands for this request whatever its id; worked out when it is asked for."""
-        known = self.who.organisation
+        known = self.identity.organisation
         caller = caller_of(self.headers) if known is None else known
         return fingerprint(self.route.host, self.method, self.target, caller, self.body)
 
@@ -65,12 +65,12 @@
 class Outcome:
     """How it ended.
 
-    :param answer: of the endpoint, if there is one to pass on
+    :param response: of the endpoint, if there is one to pass on
     :param first_event_s: seconds until a stream's first event was passed on, none if none was
     """
 
     ending: Ending
-    answer: Answer | None = None
+    response: EndpointResponse | None = None
     retry_after_s: float = 0.0
     first_event_s: float | None = None
 
--- a/src/threadramp/edge/server.py
+++ b/src/threadramp/edge/server.py
@@ -82,7 +82,7 @@
             raise BodyTooLongError(f"{len(body)} bytes of at most {limit}")
         return body
 
-    def answer(
+    def respond(
         self,
         status: int,
         headers: Iterable[tuple[str, str]] = (),
@@ -163,7 +163,7 @@
         self.handle = handle
         self.server = CallerServer((host, int(port)), _Edge, minthreads=threads, maxthreads=threads)
         self.server.edge = self
-        self.server.keep(limits)
+        self.server.set_limits(limits)
         self.server.request_queue_size = BACKLOG
         self.server.keep_alive_conn_limit = KEPT_CONNECTIONS
         self.server.server_name = "threadramp"
@@ -177,18 +177,18 @@
         """Return the limits that callers are held to."""
         return self.server.limits
 
-    def keep(self, limits: CallerLimits) -> None:
+    def set_limits(self, limits: CallerLimits) -> None:
         """Hold callers to other limits from now on."""
-        self.server.keep(limits)
+        self.server.set_limits(limits)
 
     @property
     def is_busy(self) -> bool:
         """Return whether a request is being read or answered."""
         return self.server.taken > 0
 
-    def take_nothing_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Read no further request; those that were read are answered."""
-        self.server.take_nothing_new()
+        self.server.stop_accepting()
 
     def serve(self, request: CallerRequest) -> None:
         """Answer one request."""
--- a/src/threadramp/edge/streaming.py
+++ b/src/threadramp/edge/streaming.py
@@ -9,13 +9,13 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from threadramp.edge.attempts import Attempts, EndpointAccess
+from threadramp.edge.attempt_loop import Attempts, EndpointAccess
 from threadramp.edge.caller_stream import (
     CallerLeftError,
     CallerStream,
     StreamBrokenError,
 )
-from threadramp.edge.exchange import ExchangeError, streamed_answer
+from threadramp.edge.exchange import ExchangeError, streamed_response
 from threadramp.edge.job import Ending, Outcome
 from threadramp.platform.headers import read_answer, stream_headers
 from threadramp.report.log import log_state
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from urllib3 import BaseHTTPResponse
 
-    from threadramp.edge.caller_watch import CallerWatch
+    from threadramp.edge.disconnect_watcher import DisconnectWatcher
     from threadramp.edge.exchange import Exchange
     from threadramp.edge.job import Job
     from threadramp.edge.server import CallerRequest
@@ -39,7 +39,7 @@
 class StreamForwarder:
     """Forwards requests of streaming routes."""
 
-    def __init__(self, access: EndpointAccess, watch: CallerWatch) -> None:
+    def __init__(self, access: EndpointAccess, watch: DisconnectWatcher) -> None:
         self.access = access
         self.watch = watch
 
@@ -70,7 +70,9 @@
         job = self.job
         rank = job.route.priority
         last = self.stream.last
-        return stream_headers(job.headers, time_left, instance, last, rank, job.who.organisation)
+        return stream_headers(
+            job.headers, time_left, instance, last, rank, job.identity.organisation
+        )
 
     def await_answer(self) -> Outcome | None:
         """Pass on what the one open exchange brings."""
@@ -133,7 +135,7 @@
         return Outcome(Ending.CALLER_GONE)
 
     def _take(self, exchange: Exchange) -> Outcome | None:
-        response = exchange.own_response(self._patience_s())
+        response = exchange.read_own_head(self._patience_s())
         head = read_answer(response.status, response.headers)
         if not self.is_own(exchange, head):
             return None
@@ -147,7 +149,7 @@
         self.stream.begin(response)
         self.stream.pass_events(exchange, response, self._patience_s)
         self.holding.answered(exchange.endpoint.start)
-        self.parts.keep(exchange, streamed_answer(response))
+        self.parts.keep(exchange, streamed_response(response))
         self.parts.choice.answered(exchange.endpoint, head.load, self.now())
         return Outcome(Ending.STREAMED)
 
@@ -172,7 +174,7 @@
 
     def _patience_s(self) -> float:
         """Return for how long an endpoint may be silent now."""
-        left = self.job.until - self.now()
+        left = self.job.deadline - self.now()
         if self._may_go_on_elsewhere():
             left = min(left, SILENT_S)
         return max(LEAST_WAIT_S, left)
--- a/src/threadramp/edge/tries.py
+++ b/src/threadramp/edge/tries.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from threadramp.edge.exchange import Answer, Exchange
+    from threadramp.edge.exchange import EndpointResponse, Exchange
     from threadramp.fleet.model import Start
 
 
@@ -32,7 +32,7 @@
     begun_at: dict[Start, float] = field(default_factory=dict)
     may_have_run: bool = False
     rounds: int = 0
-    last_failure: Answer | None = None
+    last_failure: EndpointResponse | None = None
 
     @property
     def passed_over(self) -> set[Start]:
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -43,13 +43,13 @@
         :param start: of the engine at which it ran
         """
         if outcome is RunOutcome.CRASHED:
-            self.guard.ended_under(sample, self._fingerprint(lot, sample), start)
+            self.guard.record_crash(sample, self._fingerprint(lot, sample), start)
         elif outcome in LIVED_ON:
-            self.guard.answered(lambda: self._fingerprint(lot, sample), start)
+            self.guard.record_response(lambda: self._fingerprint(lot, sample), start)
 
     def may_go_on(self, lot: OwnedLot, sample: str) -> bool:
         """Return whether a sample may run anywhere, beside whatever runs there."""
-        ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
+        ruling = self.guard.assess(lambda: self._fingerprint(lot, sample))
         return ruling.verdict in (Verdict.FREE, Verdict.SUSPECTED)
 
     def open_to(
@@ -59,7 +59,7 @@
 
         Where all have one it goes beside it: a sample takes seconds, and its step waits for it.
         """
-        ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
+        ruling = self.guard.assess(lambda: self._fingerprint(lot, sample))
         if ruling.verdict in (Verdict.FREE, Verdict.SUSPECTED):
             return views
         taken = self._taken()
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -84,9 +84,9 @@
             headers=reward_headers(reward.id, reward.host),
             body=reward.body,
             route=route,
-            until=self.clock.now() + CALL_S,
-            repeats_errors=False,  # they are counted, and the sample is given up after a few
-            who=ANYBODY if configuration.organisations is None else NOBODY,
+            deadline=self.clock.now() + CALL_S,
+            retry_errors=False,  # they are counted, and the sample is given up after a few
+            identity=ANYBODY if configuration.organisations is None else NOBODY,
         )
         return self.forwarder.run(job), route
 
@@ -94,7 +94,7 @@
         self, lot: OwnedLot, sample: str, outcome: Outcome | None, route: Route | None
     ) -> bool:
         """Note what came of a call; true if no further one is needed."""
-        answer = outcome.answer if outcome is not None else None
+        answer = outcome.response if outcome is not None else None
         now = self.clock.now()
         if answer is not None and outcome.ending is Ending.ANSWERED:
             status = answer.head.status
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from threadramp.edge.attempts import EndpointAccess
+    from threadramp.edge.attempt_loop import EndpointAccess
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.mirror import Mirror
     from threadramp.fleet.peers import Peers
--- a/src/threadramp/runner/engine.py
+++ b/src/threadramp/runner/engine.py
@@ -9,7 +9,7 @@
 
 from msgspec.structs import replace
 
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.exchange import ExchangeError
 from threadramp.fleet.model import Endpoint, Start
 from threadramp.platform.engine import (
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.edge.exchange import Answer, Exchange
+    from threadramp.edge.exchange import EndpointResponse, Exchange
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import WeightTarget
 
@@ -49,10 +49,10 @@
         self.pool = pool
         self.holder = holder
         self.clock = clock
-        self.connections = Connections()  # for samples
+        self.connections = ConnectionPool()  # for samples
         # Reports and orders name no id: what a sample or another report left on a connection would
         # pass for their answer.
-        self.report_connections = Connections()
+        self.report_connections = ConnectionPool()
         self.facts = NOTHING_TOLD
         self.report: EngineReport | None = None
         self.answers_since = float("inf")
@@ -165,8 +165,8 @@
 
     def forget_connections(self) -> None:
         """Close what is kept; if one passes nothing any more, the others may not either."""
-        self.connections.forget(set())
-        self.report_connections.forget(set())
+        self.connections.retain_only(set())
+        self.report_connections.retain_only(set())
 
     def count_with(self, count: Callable[[str, str], None]) -> None:
         """Let what comes on connections and is not asked for be counted, by kind and label."""
@@ -240,9 +240,9 @@
             exchange.close()
         return read_order_answer(answer.head.status)
 
-    def keep(self, exchange: Exchange, answer: Answer) -> None:
+    def keep(self, exchange: Exchange, answer: EndpointResponse) -> None:
         """Keep a connection for the next sample, one for each slot."""
-        self.connections.keep(exchange, answer, self.clock.now(), self.facts.slots)
+        self.connections.release(exchange, answer, self.clock.now(), self.facts.slots)
 
     def add_gap(self, seconds: float) -> None:
         """Note the time between two events of a sample."""
@@ -270,7 +270,7 @@
         if is_first or report is None or before is None or not report.is_behind(before):
             return report
         log_state("report_falls", orders=report.orders, before=before.orders)
-        self.report_connections.forget(set())
+        self.report_connections.retain_only(set())
         return self._ask_for_report(self._open_for_report(REPORT_TIMEOUT_S))
 
     def _asked_report(self) -> tuple[EngineReport | None, bool]:
@@ -314,12 +314,12 @@
     def _ask_for_report(self, exchange: Exchange) -> EngineReport | None:
         exchange.send("GET", REPORT_PATH, {"Host": self.address}, b"")
         answer = exchange.read(REPORT_TIMEOUT_S)
-        self.report_connections.keep(exchange, answer, self.clock.now())
+        self.report_connections.release(exchange, answer, self.clock.now())
         return read_report(answer.body) if answer.head.status == 200 else None
 
     def _open_for_report(self, timeout_s: float, on_new: bool = False) -> Exchange:
         now = self.clock.now()
-        return self.report_connections.open(self.endpoint(), now, timeout_s, on_new)
+        return self.report_connections.acquire(self.endpoint(), now, timeout_s, on_new)
 
     def _note_leaving(self, report: EngineReport | None) -> None:
         """Log that the engine says for the first time that it leaves."""
@@ -329,7 +329,7 @@
 
 
 def _is_silence(error: Exception) -> bool:
-    return isinstance(error, ExchangeError) and error.late
+    return isinstance(error, ExchangeError) and error.timed_out
 
 
 __all__ = ["Engine"]
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -8,7 +8,12 @@
 from urllib3.exceptions import HTTPError
 
 from threadramp.core.lot_book import RunOutcome
-from threadramp.edge.exchange import ExchangeError, body_pieces, is_broken, streamed_answer
+from threadramp.edge.exchange import (
+    ExchangeError,
+    is_connection_error,
+    iter_body,
+    streamed_response,
+)
 from threadramp.lots.names import given_name
 from threadramp.platform.headers import OTHER_INSTANCE_STATUS, read_answer, sample_headers
 from threadramp.report.log import log_state
@@ -65,7 +70,7 @@
         try:
             self._execute()
         except ExchangeError as error:
-            if not (error.stale or error.silent) or self._is_over():
+            if not (error.stale or error.unresponsive) or self._is_over():
                 raise
             if self._outcome_of_end(error.broken) is RunOutcome.CRASHED:
                 raise  # the next start is not for it to end as well
@@ -82,12 +87,12 @@
         endpoint = self.engine.endpoint()
         ident = given_name(self.run.order.sample.id)
         now = self.clock.now()
-        exchange = self.engine.connections.open(endpoint, now, CONNECT_S, ident=ident)
+        exchange = self.engine.connections.acquire(endpoint, now, CONNECT_S, request_id=ident)
         if not self._register(exchange):
             exchange.close()
             return
         self._send(exchange)
-        response = exchange.own_response(HEAD_S)
+        response = exchange.read_own_head(HEAD_S)
         if exchange.duplicates:
             self.metrics.count("answer_not_own", "named")
         head = read_answer(response.status, response.headers)
@@ -158,20 +163,20 @@
         exchange.connection.sock.settimeout(SILENT_S)
         self.last_event = self.clock.now()
         try:
-            for data in body_pieces(response):
+            for data in iter_body(response):
                 for event in reader.feed(data):
                     if not self._take_event(event):
                         exchange.close()
                         return
         except (OSError, HTTPError, ValueError, AttributeError) as error:
             exchange.close()
-            self._finish(self._outcome_of_end(is_broken(error)), repr(error))
+            self._finish(self._outcome_of_end(is_connection_error(error)), repr(error))
             return
         if not reader.is_between_events:
             exchange.close()
             self._finish(self._outcome_of_end(True), "it stopped within an event")
             return
-        self.engine.keep(exchange, streamed_answer(response))
+        self.engine.keep(exchange, streamed_response(response))
         self._finish(RunOutcome.WHOLE, "")
 
     def _take_event(self, event: Event) -> bool:
--- a/src/threadramp/serve/figures.py
+++ b/src/threadramp/serve/figures.py
@@ -21,9 +21,9 @@
 
     def answer(request: CallerRequest) -> None:
         if request.path == METRICS_PATH:
-            request.answer(200, [("Content-Type", "text/plain")], metrics.text())
+            request.respond(200, [("Content-Type", "text/plain")], metrics.text())
         else:
-            request.answer(404)
+            request.respond(404)
 
     return EdgeServer(f"{ip}:{METRICS_PORT}", answer, THREADS, CallerLimits())
 
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -12,9 +12,9 @@
 from threadramp.duties.scale_orders import ScaleOrders
 from threadramp.duties.turns import Duties
 from threadramp.duties.usage_reports import UsageReports
-from threadramp.edge.caller_watch import CallerWatch
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.crash_guard import CrashGuard
+from threadramp.edge.disconnect_watcher import DisconnectWatcher
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.handler import EdgeHandler
 from threadramp.edge.server import EdgeServer
@@ -99,7 +99,7 @@
             self.member.address, Packing(), self.answers.handle, PEER_THREADS, decode_ask
         )
         limits = CallerLimits()  # until the configuration is known
-        self.ready = EdgeServer(own.ready, self.handler.answer_ready, READY_THREADS, limits)
+        self.ready = EdgeServer(own.ready, self.handler.serve_ready, READY_THREADS, limits)
         self.callers = EdgeServer(own.callers, self.handler.handle, HTTP_THREADS, limits)
         self.picture.operator.listeners.append(self._keep_limits)
         self._keep_limits()
@@ -114,7 +114,7 @@
             in_background(self.duties.leave)
         last = began + self.settings.bounds.grace_s - EXIT_MARGIN_S
         self._wait_until_quiet(began + BALANCER_S, last - LAST_ANSWERS_S)
-        self.callers.take_nothing_new()
+        self.callers.stop_accepting()
         self.hosting.leave()
         while self.callers.is_busy and steady_s() < last:
             time.sleep(STOP_LOOK_S)
@@ -254,7 +254,7 @@
 
     def _build_lots(self, store: StoreClient, clock: Clock) -> None:
         random = Random(self.incarnation)
-        connections = Connections(self.metrics.count)
+        connections = ConnectionPool(self.metrics.count)
         self.counting = self._new_counting()
         forwarder = Forwarder(
             self.picture,
@@ -266,9 +266,9 @@
             self.counting,
         )
         self.forwarder = forwarder
-        self.caller_watch = CallerWatch()
+        self.caller_watch = DisconnectWatcher()
         streams = StreamForwarder(forwarder, self.caller_watch)
-        self.picture.endpoints.listeners.append(forwarder.forget_gone)
+        self.picture.endpoints.listeners.append(forwarder.drop_unlisted)
         owned = OwnedLots()
         if self.counting is not None:
             self.counting.open = DemandCounting(self.picture, forwarder.choice, owned).open
@@ -318,7 +318,7 @@
         """Hold callers to the limits of the configuration in force."""
         configuration = self.picture.belief.configuration
         if configuration is not None and configuration.limits != self.callers.limits:
-            self.callers.keep(configuration.limits)
+            self.callers.set_limits(configuration.limits)
             log_state(
                 "caller_limits", version=configuration.version, **asdict(configuration.limits)
             )
--- a/src/threadramp/sidecar/engine.py
+++ b/src/threadramp/sidecar/engine.py
@@ -19,7 +19,7 @@
 )
 
 from threadramp.core.keys import Answer
-from threadramp.edge.exchange import is_broken
+from threadramp.edge.exchange import is_connection_error
 from threadramp.report.log import log_state
 from threadramp.wire.headers import REQUEST_ID
 from threadramp.wire.late_bytes import TooLateError, body_in_time, drop_what_is_late
@@ -190,7 +190,7 @@
                 self._check_id(response, request_id, echoes=False)
                 yield from self._chunks(response, request_id)
             except (HTTPError, msgspec.DecodeError, OSError) as error:
-                raise BrokenAnswerError(type(error).__name__, is_broken(error)) from error
+                raise BrokenAnswerError(type(error).__name__, is_connection_error(error)) from error
             finally:
                 response.close()  # an unread rest belongs to nobody
 
@@ -265,7 +265,7 @@
         except (NewConnectionError, ConnectTimeoutError) as error:
             raise NeverSentError(type(error).__name__) from error
         except (HTTPError, IncompleteRead, ProtocolError, OSError) as error:
-            raise BrokenAnswerError(type(error).__name__, is_broken(error)) from error
+            raise BrokenAnswerError(type(error).__name__, is_connection_error(error)) from error
 
     def _check_id(self, response: BaseHTTPResponse, request_id: str, echoes: bool) -> None:
         echoed = response.headers.get(REQUEST_ID)
--- a/tests/edge/test_signs.py
+++ b/tests/edge/test_connection_breaks.py
@@ -5,8 +5,8 @@
 import threading
 import time
 
+from threadramp.edge.connection_breaks import OTHERS_S, Breaking, Signs, timed_probe
 from threadramp.edge.endpoint_probe import EndpointState
-from threadramp.edge.signs import OTHERS_S, Breaking, Signs, timed_look
 from threadramp.fleet.model import Start
 
 START = Start("i-0", 1)
@@ -74,7 +74,7 @@
         time.sleep(pause)
         return state
 
-    found = timed_look("127.0.0.1:1", look)
+    found = timed_probe("127.0.0.1:1", look)
     assert found.state is EndpointState.BREAKS
     assert found.took_s >= 0.05
     assert not shown
@@ -82,4 +82,4 @@
 
 def test_what_listens_the_second_time_did_not_end():
     shown = [EndpointState.BREAKS, EndpointState.LISTENS]
-    assert timed_look("127.0.0.1:1", lambda address: shown.pop(0)).state is EndpointState.LISTENS
+    assert timed_probe("127.0.0.1:1", lambda address: shown.pop(0)).state is EndpointState.LISTENS
--- a/tests/edge/test_connections.py
+++ b/tests/edge/test_connection_pool.py
@@ -8,14 +8,14 @@
 import pytest
 
 from tests.serve.way import Way
-from threadramp.edge.connections import IDLE_MOST_S, IDLE_S, Connections
-from threadramp.edge.exchange import Answer, ExchangeError, body_pieces, streamed_answer
+from threadramp.edge.connection_pool import IDLE_MOST_S, IDLE_S, ConnectionPool
+from threadramp.edge.exchange import EndpointResponse, ExchangeError, iter_body, streamed_response
 from threadramp.fleet.model import Endpoint
 from threadramp.platform.headers import AnswerHead, read_answer
 
 
-def answer(*headers: tuple[str, str]) -> Answer:
-    return Answer(read_answer(200, dict(headers)), "", headers, b"")
+def answer(*headers: tuple[str, str]) -> EndpointResponse:
+    return EndpointResponse(read_answer(200, dict(headers)), "", headers, b"")
 
 
 @pytest.fixture
@@ -23,12 +23,12 @@
     return Endpoint("i-1", "p", serve(engine), "a")
 
 
-def kept_for(endpoint: Endpoint, given: Answer, rest_s: float) -> bool:
+def kept_for(endpoint: Endpoint, given: EndpointResponse, rest_s: float) -> bool:
     """Return whether a connection that rested for a while is used again."""
-    connections = Connections()
-    exchange = connections.open(endpoint, 0.0, 1.0)
-    connections.keep(exchange, given, 0.0)
-    again = connections.open(endpoint, rest_s, 1.0)
+    connections = ConnectionPool()
+    exchange = connections.acquire(endpoint, 0.0, 1.0)
+    connections.release(exchange, given, 0.0)
+    again = connections.acquire(endpoint, rest_s, 1.0)
     again.close()
     return again.reused
 
@@ -64,8 +64,8 @@
     assert not kept_for(endpoint, given, 0.1)
 
 
-def sent(connections: Connections, endpoint: Endpoint):
-    exchange = connections.open(endpoint, 0.0, 1.0)
+def sent(connections: ConnectionPool, endpoint: Endpoint):
+    exchange = connections.acquire(endpoint, 0.0, 1.0)
     exchange.send("POST", "/x", {"Host": "h", "X-Attempt-Id": "r1"}, b"q")
     return exchange
 
@@ -73,38 +73,38 @@
 def test_an_answer_is_waited_for_as_long_as_was_said(endpoint, engine):
     """The library sets its own time at the socket: all heads were waited for 0.3 s."""
     engine.faults["hold_s"] = 0.6
-    assert sent(Connections(), endpoint).read(2.0).head.status == 200
+    assert sent(ConnectionPool(), endpoint).read(2.0).head.status == 200
 
 
 def test_a_connection_is_used_again_behind_a_body_that_was_taken_as_it_came(endpoint):
-    connections = Connections()
+    connections = ConnectionPool()
     exchange = sent(connections, endpoint)
     response = exchange.response(1.0)
-    assert b"".join(body_pieces(response)) == b"i-1 answers r1"
-    connections.keep(exchange, streamed_answer(response), 0.0)
+    assert b"".join(iter_body(response)) == b"i-1 answers r1"
+    connections.release(exchange, streamed_response(response), 0.0)
     again = sent(connections, endpoint)
     assert again.reused
     assert again.read(1.0).body == b"i-1 answers r1"
 
 
 def test_a_kept_connection_that_brings_nothing_may_be_silent(endpoint):
-    connections = Connections()
+    connections = ConnectionPool()
     way = Way(endpoint.address)
     behind = Endpoint("i-1", "p", way.address, "a")
     exchange = sent(connections, behind)
-    connections.keep(exchange, exchange.read(1.0), 0.0)
+    connections.release(exchange, exchange.read(1.0), 0.0)
     way.silence()
     with pytest.raises(ExchangeError) as caught:
         sent(connections, behind).read(0.2)
-    assert caught.value.silent
+    assert caught.value.unresponsive
     way.close()
 
 
 def test_a_new_connection_that_brings_nothing_is_the_endpoints_fault(endpoint, engine):
     engine.faults["hold_s"] = 0.6
     with pytest.raises(ExchangeError) as caught:
-        sent(Connections(), endpoint).read(0.2)
-    assert not caught.value.silent
+        sent(ConnectionPool(), endpoint).read(0.2)
+    assert not caught.value.unresponsive
 
 
 def test_a_request_that_was_given_up_does_not_arrive_later():
@@ -119,7 +119,7 @@
     """
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
-        exchange = Connections().open(Endpoint("i-1", "p", f"{host}:{port}", "a"), 0.0, 1.0)
+        exchange = ConnectionPool().acquire(Endpoint("i-1", "p", f"{host}:{port}", "a"), 0.0, 1.0)
         exchange.send("POST", "/x", {"Host": "h"}, b"x" * 200_000)
         with pytest.raises(ExchangeError):
             exchange.read(0.05)
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from threadramp.edge.attempts import REJECTED_PAUSE_S, REJECTED_ROUNDS, Attempts
-from threadramp.edge.connections import Connections
+from threadramp.edge.attempt_loop import REJECTED_PAUSE_S, REJECTED_ROUNDS, Attempts
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -36,7 +36,7 @@
         self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(COUNT)]
         self.list_all()
         self.forwarder = Forwarder(
-            self.picture, Connections(), EndpointChoice(Random(2)), RetryBudget(), Clock()
+            self.picture, ConnectionPool(), EndpointChoice(Random(2)), RetryBudget(), Clock()
         )
         self.guard = self.forwarder.guard
         self.guard.claim = lambda fingerprint, trial: True
@@ -58,7 +58,7 @@
         return sum(len(one.crashed_at) for one in self.standins)
 
     def verdict(self, target="/crashes") -> Verdict:
-        return self.guard.ruling(lambda: _fingerprint(target)).verdict
+        return self.guard.assess(lambda: _fingerprint(target)).verdict
 
 
 def _fingerprint(target: str) -> bytes:
@@ -193,7 +193,7 @@
     for one in crowd.standins:
         one.engine.faults["hold_s"] = 0.0
     for one in crowd.standins[:2]:
-        crowd.guard.ended_under("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
+        crowd.guard.record_crash("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
     assert crowd.verdict("/calm") is Verdict.APART
     for one in crowd.standins:
         assert crowd.guard.take_place(Start(one.instance))
--- a/tests/edge/test_duplicate_responses.py
+++ b/tests/edge/test_duplicate_responses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.stuttering import LATE, Stutterer, header_of, response
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -43,7 +43,7 @@
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": endpoint})
     choice = EndpointChoice(Random(1))
-    return Forwarder(picture, Connections(), choice, RetryBudget(), Clock())
+    return Forwarder(picture, ConnectionPool(), choice, RetryBudget(), Clock())
 
 
 def job(ident: str, body: bytes, time_s: float = 2.0) -> Job:
@@ -61,7 +61,7 @@
         body = f"{number} ".encode() * size
         outcome = forwarder.run(job(f"r{number}", body))
         assert outcome.ending is Ending.ANSWERED
-        assert outcome.answer.body == body
+        assert outcome.response.body == body
     assert len(stutterer.requests) == REQUESTS
 
 
@@ -74,13 +74,13 @@
 
 def test_responses_that_repeat_none_of_this_connection_are_not_skipped(endpoint) -> None:
     """The response of a request that was never sent here tells nothing of what follows it."""
-    connections = Connections()
-    first = connections.open(endpoint, steady_s(), 1.0, ident="r1")
+    connections = ConnectionPool()
+    first = connections.acquire(endpoint, steady_s(), 1.0, request_id="r1")
     first.send("POST", "/x", {"Host": "h", "X-Attempt-Id": "r1"}, b"q")
     first.read(1.0)
     first.connection.carried.clear()
     first.send("POST", "/x", {"Host": "h", "X-Attempt-Id": "r2"}, b"q")
-    found = first.own_response(1.0)
+    found = first.read_own_head(1.0)
     assert found.headers["X-Attempt-Id"] == "r1"
 
 
--- a/tests/edge/test_echo.py
+++ b/tests/edge/test_echo.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.stuttering import Stutterer, header_of, response
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -28,7 +28,9 @@
     endpoint = Stutterer(answer, "soon")
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", kind, (PoolShare("p", 1.0),), 2.0, 1.0, 2)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
     try:
@@ -36,4 +38,4 @@
     finally:
         endpoint.close()
     assert outcome.ending is Ending.ANSWERED
-    assert outcome.answer.head.status == 200
+    assert outcome.response.head.status == 200
--- a/tests/edge/test_endpoint_probe.py
+++ b/tests/edge/test_endpoint_probe.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.endpoint_probe import (
     EndpointState,
     born_at,
-    look_at,
+    probe_endpoint,
     probe_without_request,
 )
 from threadramp.edge.exchange import ExchangeError
@@ -32,17 +32,17 @@
     """A busy endpoint that answers its report late would be held against all requests there."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
-        assert look_at(f"{host}:{port}", 0.05) is EndpointState.LISTENS
+        assert probe_endpoint(f"{host}:{port}", 0.05) is EndpointState.LISTENS
 
 
 def test_one_that_lives_listens(crashing):
     crashing.cut()
-    assert look_at(crashing.address) is EndpointState.LISTENS
+    assert probe_endpoint(crashing.address) is EndpointState.LISTENS
 
 
 def test_one_that_crashed_has_ended(crashing):
     crashing.crash()
-    assert look_at(crashing.address) is EndpointState.ENDED
+    assert probe_endpoint(crashing.address) is EndpointState.ENDED
 
 
 def test_one_that_does_not_answer_is_not_known():
@@ -54,19 +54,19 @@
             client.setblocking(False)
             client.connect_ex(full.getsockname())
         host, port = full.getsockname()
-        assert look_at(f"{host}:{port}", 0.05) is EndpointState.UNKNOWN
+        assert probe_endpoint(f"{host}:{port}", 0.05) is EndpointState.UNKNOWN
 
 
 def test_a_crash_shows_as_a_broken_connection_and_a_late_answer_does_not(crashing):
     endpoint = Endpoint(crashing.instance, "p", crashing.address, "a")
-    exchange = Connections().open(endpoint, 0.0, 1.0)
+    exchange = ConnectionPool().acquire(endpoint, 0.0, 1.0)
     exchange.send("POST", "/crashes", {"Host": "h"}, b"")
     with pytest.raises(ExchangeError) as found:
         exchange.read(1.0)
     assert found.value.broken
     crashing.start()
     crashing.engine.faults["hold_s"] = 1.0
-    exchange = Connections().open(endpoint, 0.0, 1.0)
+    exchange = ConnectionPool().acquire(endpoint, 0.0, 1.0)
     headers = {"Host": "h", "X-Expect-Instance": crashing.instance}
     exchange.send("POST", "/a", headers, b"")
     with pytest.raises(ExchangeError) as found:
@@ -90,10 +90,10 @@
 
 def test_a_front_whose_endpoint_is_down_breaks_each_connection(fronted):
     """The front runs in this process; a break that comes late is one as well."""
-    assert look_at(fronted.address, SLOW_S) is EndpointState.LISTENS
+    assert probe_endpoint(fronted.address, SLOW_S) is EndpointState.LISTENS
     fronted.crash()
     for _ in range(20):  # the break may come before this process sees that it was taken
-        assert look_at(fronted.address, SLOW_S) is EndpointState.BREAKS
+        assert probe_endpoint(fronted.address, SLOW_S) is EndpointState.BREAKS
 
 
 def test_one_that_answers_tells_its_birth(fronted, crashing):
--- a/tests/edge/test_filled_up.py
+++ b/tests/edge/test_filled_up.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.stuttering import SOON, Stutterer, _read_request, header_of, response
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -59,7 +59,7 @@
     endpoint = Filling(named, own_bytes, ends)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
-    connections = Connections()
+    connections = ConnectionPool()
     forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     try:
@@ -68,7 +68,7 @@
             job = Job(ident, "POST", "/x", headers, b"q", route, steady_s() + 2.0)
             outcome = forwarder.run(job)
             if outcome.ending is Ending.ANSWERED:
-                assert outcome.answer.body == BODY
+                assert outcome.response.body == BODY
     finally:
         endpoint.close()
     assert connections.opened == 1
@@ -94,11 +94,13 @@
     endpoint = CutAndAgain(own_bytes)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
     try:
         outcome = forwarder.run(Job("r1", "POST", "/x", headers, b"q", route, steady_s() + 2.0))
     finally:
         endpoint.close()
-    assert outcome.answer is None or outcome.answer.body == BODY
+    assert outcome.response is None or outcome.response.body == BODY
--- a/tests/edge/test_forward.py
+++ b/tests/edge/test_forward.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -27,7 +27,7 @@
         self.serve = serve
         self.asked = 0
         self.picture = Picture()
-        self.connections = Connections()
+        self.connections = ConnectionPool()
         self.standins: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
         self.choice = EndpointChoice(Random(1))
@@ -68,8 +68,8 @@
     fleet.add()
     outcome = fleet.run()
     assert outcome.ending is Ending.ANSWERED
-    assert (outcome.answer.head.status, outcome.answer.body) == (200, b"i-0 answers req")
-    assert outcome.answer.head.signature == "sig-req"
+    assert (outcome.response.head.status, outcome.response.body) == (200, b"i-0 answers req")
+    assert outcome.response.head.signature == "sig-req"
 
 
 def test_a_connection_is_used_again(fleet):
@@ -104,7 +104,7 @@
     fleet.add(fail=9)
     fleet.add()
     for _ in range(6):
-        assert fleet.run().answer.head.status == 200
+        assert fleet.run().response.head.status == 200
 
 
 def test_a_request_that_runs_once_is_not_tried_elsewhere_after_it_ran(fleet):
@@ -118,14 +118,14 @@
     fleet.add(other_id=1)
     fleet.add(other_id=1)
     outcome = fleet.run(attempts=3)
-    assert outcome.ending is not Ending.ANSWERED or outcome.answer.body.endswith(b"answers req")
+    assert outcome.ending is not Ending.ANSWERED or outcome.response.body.endswith(b"answers req")
 
 
 def test_no_more_endpoints_than_allowed_run_a_request(fleet):
     for _ in range(4):
         fleet.add(fail=9)
     outcome = fleet.run(attempts=2)
-    assert outcome.answer.head.status == 500
+    assert outcome.response.head.status == 500
     assert fleet.runs == 2
 
 
@@ -157,7 +157,7 @@
     ours, theirs = socket.socketpair()
     threading.Timer(0.2, theirs.close).start()
     started = steady_s()
-    assert fleet.run(caller=ours).ending is Ending.CALLER_GONE
+    assert fleet.run(caller_socket=ours).ending is Ending.CALLER_GONE
     assert steady_s() - started < 0.6
     ours.close()
 
@@ -165,7 +165,7 @@
 def test_a_scoring_error_is_the_answer(fleet):
     fleet.add(fail=1)
     fleet.add()
-    statuses = {fleet.run(repeats_errors=False).answer.head.status for _ in range(4)}
+    statuses = {fleet.run(retry_errors=False).response.head.status for _ in range(4)}
     assert statuses == {200, 500}
     assert fleet.runs == 4
 
@@ -180,7 +180,7 @@
     kept.sock.close()
     kept.sock = peer_closed[0]
     peer_closed[1].sendall(b"HTTP/1.1 200 OK\r\n")
-    assert fleet.run().answer.body == b"i-0 answers req-2"
+    assert fleet.run().response.body == b"i-0 answers req-2"
     assert fleet.connections.opened == 2
 
 
@@ -189,7 +189,7 @@
     fleet.run()
     assert fleet.connections.idle and fleet.choice.records
     fleet.picture.belief = Belief()
-    fleet.forwarder.forget_gone()
+    fleet.forwarder.drop_unlisted()
     assert not fleet.connections.idle
     assert not fleet.choice.records
 
@@ -198,7 +198,7 @@
     fleet.add()
     ours, theirs = socket.socketpair()
     theirs.close()
-    assert fleet.run(caller=ours).ending is Ending.CALLER_GONE
+    assert fleet.run(caller_socket=ours).ending is Ending.CALLER_GONE
     assert fleet.runs == 0
 
 
@@ -215,7 +215,7 @@
         fleet.run()
     fleet.choice.failed(fleet.endpoints["i-0"], steady_s())
     start_anew(fleet, 2000)
-    fleet.forwarder.forget_gone()
+    fleet.forwarder.drop_unlisted()
     assert not fleet.connections.idle
     assert not fleet.choice.records
 
--- a/tests/edge/test_hidden_ends.py
+++ b/tests/edge/test_hidden_ends.py
@@ -95,7 +95,7 @@
     for number in range(3):
         crowd.run(attempts=1)
         wait_for(lambda: not crowd.guard.ends.held, "it is settled", 3.0)
-        assert crowd.guard.ruling(lambda: _fingerprint("/crashes")).crashes == number + 1
+        assert crowd.guard.assess(lambda: _fingerprint("/crashes")).crashes == number + 1
     assert crowd.run().ending is Ending.NOT_RUN
 
 
--- a/tests/edge/test_interim.py
+++ b/tests/edge/test_interim.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.stuttering import LATE, Stutterer, header_of, response
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -28,11 +28,13 @@
     endpoint = Stutterer(answer, LATE)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
     try:
         outcome = forwarder.run(Job("r1", "POST", "/x", headers, b"q", route, steady_s() + 2.0))
     finally:
         endpoint.close()
-    assert outcome.answer is None or outcome.answer.head.status == 200
+    assert outcome.response is None or outcome.response.head.status == 200
--- a/tests/edge/test_second_answers.py
+++ b/tests/edge/test_second_answers.py
@@ -9,7 +9,7 @@
 import pytest
 
 import threadramp.edge.exchange as exchange_module
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.exchange import Exchange, ExchangeError
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
@@ -41,8 +41,8 @@
 
 
 @pytest.fixture
-def connections() -> Connections:
-    return Connections()
+def connections() -> ConnectionPool:
+    return ConnectionPool()
 
 
 @pytest.fixture
@@ -61,8 +61,8 @@
     return run
 
 
-def exchange_for(connections: Connections, endpoint: Endpoint, ident: str) -> Exchange:
-    exchange = connections.open(endpoint, steady_s(), 1.0, ident=ident)
+def exchange_for(connections: ConnectionPool, endpoint: Endpoint, ident: str) -> Exchange:
+    exchange = connections.acquire(endpoint, steady_s(), 1.0, request_id=ident)
     exchange.send("POST", "/x", {"Host": "h", "X-Attempt-Id": ident}, b"q")
     return exchange
 
@@ -76,7 +76,7 @@
         outcome = forward(f"r{number}")
         assert outcome.ending in (Ending.ANSWERED, Ending.UNKNOWN)
         if outcome.ending is Ending.ANSWERED:
-            assert outcome.answer.body == f"i-1 answers r{number}".encode()
+            assert outcome.response.body == f"i-1 answers r{number}".encode()
 
 
 def test_a_second_answer_is_known_by_its_head(front, engine, connections, forward):
@@ -98,7 +98,7 @@
     exchange = exchange_for(connections, endpoint, "r1")
     answer = exchange.read(1.0)
     assert answer.body == b"i-1 answers r1"
-    connections.keep(exchange, answer, steady_s())
+    connections.release(exchange, answer, steady_s())
     assert not any(connections.idle.values())
 
 
@@ -117,8 +117,8 @@
     """A scoring call is repeated under its id; the copy of its first failure was a second one."""
     front.stutter = Stutter(Second.WHOLE, Moment.AFTER_NEXT)
     engine.faults["fail"] = 1
-    assert forward("r1", repeats_errors=False).answer.head.status == 500
-    assert forward("r1", repeats_errors=False).answer.head.status == 200
+    assert forward("r1", retry_errors=False).response.head.status == 500
+    assert forward("r1", retry_errors=False).response.head.status == 200
 
 
 def told_by(monkeypatch) -> list[tuple[str, dict]]:
@@ -184,7 +184,7 @@
     monkeypatch.setattr(engine, "answer", lambda one: replace(answer(one), headers=unnamed))
     for number in range(4):
         outcome = forward(f"r{number}", RouteKind.ONCE)
-        assert outcome.answer.body == f"i-1 answers r{number}".encode()
+        assert outcome.response.body == f"i-1 answers r{number}".encode()
     assert front.opened == 4
 
 
--- a/tests/edge/test_server.py
+++ b/tests/edge/test_server.py
@@ -23,7 +23,7 @@
 
 
 def answer_ok(request: CallerRequest) -> None:
-    request.answer(200, body=b"ok")
+    request.respond(200, body=b"ok")
 
 
 class Server:
@@ -155,7 +155,7 @@
 
 
 def test_changed_limits_hold_for_the_next_request(server):
-    server.edge.keep(CallerLimits(header_bytes=100_000, header_s=5.0, idle_s=1.0))
+    server.edge.set_limits(CallerLimits(header_bytes=100_000, header_s=5.0, idle_s=1.0))
     with closing(server.connect()) as caller:
         caller.sendall(REQUEST[:-2] + b"X-Long: " + b"x" * 3_000 + b"\r\n\r\n")
         assert caller.recv(4096).startswith(b"HTTP/1.1 200")
@@ -164,7 +164,7 @@
 def test_a_body_that_stops_coming_ends_its_connection():
     limits = CallerLimits(header_s=0.5, idle_s=0.5)
     edge = EdgeServer(
-        "127.0.0.1:0", lambda request: request.answer(200, body=request.body(100)), 1, limits
+        "127.0.0.1:0", lambda request: request.respond(200, body=request.body(100)), 1, limits
     )
     with closing(socket.create_connection(edge.server.bind_addr, timeout=5.0)) as caller:
         caller.sendall(b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc")
@@ -182,7 +182,7 @@
     def answer(request: CallerRequest) -> None:
         served.append(request.path)
         release.wait(5.0)
-        request.answer(200, body=b"ok")
+        request.respond(200, body=b"ok")
 
     edge = EdgeServer("127.0.0.1:0", answer, THREADS, LIMITS)
     with (
@@ -191,7 +191,7 @@
     ):
         first.sendall(REQUEST)
         wait_until(lambda: served)
-        edge.take_nothing_new()
+        edge.stop_accepting()
         second.sendall(REQUEST)
         assert rest_of(second) == b""
         assert edge.is_busy
--- a/tests/edge/test_stale_connections.py
+++ b/tests/edge/test_stale_connections.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from threadramp.edge.connections import Connections
-from threadramp.edge.exchange import Answer, Exchange, ExchangeError
+from threadramp.edge.connection_pool import ConnectionPool
+from threadramp.edge.exchange import EndpointResponse, Exchange, ExchangeError
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock
@@ -75,23 +75,23 @@
         one.listener.close()
 
 
-def carry_out(exchange: Exchange) -> Answer:
+def carry_out(exchange: Exchange) -> EndpointResponse:
     exchange.send("POST", "/", {"Host": "h"}, b"q")
     return exchange.read(1.0)
 
 
 def test_a_kept_connection_that_was_dropped_is_told_from_an_endpoint_that_failed(dropping):
-    connections = Connections()
-    exchange = connections.open(dropping[0].endpoint, 0.0, 1.0)
-    connections.keep(exchange, carry_out(exchange), 0.0)
+    connections = ConnectionPool()
+    exchange = connections.acquire(dropping[0].endpoint, 0.0, 1.0)
+    connections.release(exchange, carry_out(exchange), 0.0)
     with pytest.raises(ExchangeError) as failure:
-        carry_out(connections.open(dropping[0].endpoint, 0.0, 1.0))
+        carry_out(connections.acquire(dropping[0].endpoint, 0.0, 1.0))
     assert failure.value.stale
     assert failure.value.sent
 
 
 def test_a_new_connection_that_breaks_is_not_stale(dropping):
-    exchange = Connections().open(dropping[0].endpoint, 0.0, 1.0)
+    exchange = ConnectionPool().acquire(dropping[0].endpoint, 0.0, 1.0)
     carry_out(exchange)
     with pytest.raises(ExchangeError) as failure:
         carry_out(exchange)
@@ -102,7 +102,9 @@
     picture = Picture()
     only = dropping[0].endpoint
     picture.belief = Belief(endpoints={only.instance: only})
-    forwarder = Forwarder(picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(
+        picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+    )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
     endings = []
     for _ in range(6):
@@ -118,7 +120,7 @@
     endpoints = {one.endpoint.instance: one.endpoint for one in dropping}
     picture.belief = Belief(endpoints=endpoints)
     choice = EndpointChoice(Random(1))
-    forwarder = Forwarder(picture, Connections(), choice, RetryBudget(), Clock())
+    forwarder = Forwarder(picture, ConnectionPool(), choice, RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.REPEATABLE, (PoolShare("p", 1.0),), 2.0, 1.0, 3)
     for _ in range(8):
         until = time.monotonic() + 2.0
--- a/tests/edge/test_streaming.py
+++ b/tests/edge/test_streaming.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from threadramp.edge.caller_watch import CallerWatch
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
+from threadramp.edge.disconnect_watcher import DisconnectWatcher
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.edge.server import EdgeServer
@@ -34,9 +34,9 @@
         self.engines: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
         access = Forwarder(
-            self.picture, Connections(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+            self.picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
         )
-        self.watch = CallerWatch()
+        self.watch = DisconnectWatcher()
         self.watch.start()
         self.streams = StreamForwarder(access, self.watch)
         self.outcomes = []
@@ -67,13 +67,13 @@
         outcome = self.streams.run(job, request, closes=False)
         self.outcomes.append(outcome)
         if outcome.ending is Ending.NOT_RUN:
-            request.answer(503)
+            request.respond(503)
         elif outcome.ending is Ending.ANSWERED:
-            request.answer(outcome.answer.head.status, (), outcome.answer.body)
+            request.respond(outcome.response.head.status, (), outcome.response.body)
         elif outcome.ending is Ending.CALLER_GONE:
             request.drop()
         elif outcome.ending not in (Ending.STREAMED, Ending.CUT):
-            request.answer(504)
+            request.respond(504)
 
     def open(self, **headers) -> http.client.HTTPConnection:
         connection = http.client.HTTPConnection(*self.address, timeout=10)
--- a/tests/runner/test_engine.py
+++ b/tests/runner/test_engine.py
@@ -27,7 +27,7 @@
 
 def run_sample(own_engine: Engine) -> None:
     """Run a sample at the engine and keep its connection."""
-    exchange = own_engine.connections.open(own_engine.endpoint(), Clock().now(), 1.0)
+    exchange = own_engine.connections.acquire(own_engine.endpoint(), Clock().now(), 1.0)
     exchange.send("POST", "/p", SAMPLE, b"q")
     own_engine.keep(exchange, exchange.read(1.0))
 
