--- a/src/threadramp/edge/__init__.py
+++ b/src/threadramp/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP side of a gateway: callers' requests and trainers' calls about lots."""
+"""The HTTP server of a gateway: requests of callers, and calls of trainers about lots."""
--- a/src/threadramp/edge/attempt_loop.py
+++ b/src/threadramp/edge/attempt_loop.py
@@ -1,16 +1,16 @@
-"""What all ways to forward a request share: which endpoint is asked next, and when to give up."""
+"""Endpoint selection and retries, shared by the ways to forward a request."""
 
 from __future__ import annotations
 
 import select
 from typing import TYPE_CHECKING
 
-from threadramp.edge.connection_breaks import Signs
+from threadramp.edge.attempt_history import AttemptHistory
+from threadramp.edge.connection_breaks import ConnectionBreak
+from threadramp.edge.crash_admission import CrashAdmission
 from threadramp.edge.crash_guard import CrashGuard
 from threadramp.edge.exchange import ExchangeError
-from threadramp.edge.holding import Holding
-from threadramp.edge.job import Ending, Outcome, has_ended
-from threadramp.edge.tries import Tries
+from threadramp.edge.job import Ending, Outcome, is_disconnected
 from threadramp.platform.headers import to_endpoint
 from threadramp.policy.connection_share import idle_share
 from threadramp.policy.crash_book import CrashBook, Ruling, Verdict
@@ -30,253 +30,261 @@
     from threadramp.policy.endpoint_choice import EndpointChoice
     from threadramp.policy.retries import RetryBudget
 
-REJECTED_PAUSE_S = 0.03  # before an endpoint that was full is asked again
-REJECTED_ROUNDS = 4  # times that all endpoints of the pool may refuse before the caller is told
-RETRY_AFTER_S = 0.2  # a slot of these endpoints is free again within some tens of milliseconds
-ANSWER_MARGIN_S = 0.02  # an answer leaves this long before the time is over
-# Endpoints that may end under one id: a third try would be the last that its request has at all,
-# and its caller may come again once more is known.
-ENDED_MOST = 2
-NOBODY_LEFT_S = 1.0  # endpoints that crashed are back after 1 to 3 s
+REJECTION_PAUSE_S = 0.03  # before endpoints that were full are tried again
+MAX_REJECTION_ROUNDS = 4  # of the whole pool, before the caller is refused
+RETRY_AFTER_S = 0.2  # endpoints free a slot within some tens of milliseconds
+RESPONSE_MARGIN_S = 0.02  # the response is sent this long before the deadline
+# Endpoints that one request id may crash. A request is refused after three crashes, so a third
+# attempt would use up the last one; the caller may retry once more is known.
+MAX_CRASHES = 2
+UNREACHABLE_RETRY_AFTER_S = 1.0  # crashed endpoints are back after 1 to 3 s
 
 
 class EndpointAccess:
-    """The endpoints as one process sees and reaches them; one for all of its threads."""
+    """Everything needed to reach endpoints; shared by all threads of a process."""
 
     def __init__(
         self,
-        picture: Picture,
-        connections: ConnectionPool,
+        fleet_view: Picture,
+        connection_pool: ConnectionPool,
         choice: EndpointChoice,
-        budget: RetryBudget,
+        retry_budget: RetryBudget,
         clock: Clock,
         guard: CrashGuard | None = None,
-        counting: UsageCounting | None = None,
+        usage_counter: UsageCounting | None = None,
     ) -> None:
-        self.picture = picture
-        self.connections = connections
+        self.fleet_view = fleet_view
+        self.connection_pool = connection_pool
         self.choice = choice
-        self.budget = budget
+        self.retry_budget = retry_budget
         self.clock = clock
-        self.counting = counting
-        self.guard = guard or CrashGuard(CrashBook(), clock, picture)
+        self.usage_counter = usage_counter
+        self.guard = guard or CrashGuard(CrashBook(), clock, fleet_view)
 
     def drop_unlisted(self) -> None:
-        """Drop what is kept of starts that are not listed any more."""
-        starts = {one.start for one in self.picture.belief.endpoints.values()}
-        self.connections.retain_only(starts)
-        self.choice.forget(starts)
-
-    def keep(self, exchange: Exchange, answer: EndpointResponse) -> None:
-        """Keep a connection for the next request, within this gateway's share."""
-        belief = self.picture.belief
+        """Drop connections and records of incarnations that are no longer listed."""
+        incarnations = {one.start for one in self.fleet_view.belief.endpoints.values()}
+        self.connection_pool.retain_only(incarnations)
+        self.choice.forget(incarnations)
+
+    def release_connection(self, exchange: Exchange, response: EndpointResponse) -> None:
+        """Return a connection to the pool, within this gateway's share of idle connections."""
+        belief = self.fleet_view.belief
         pool = belief.pool(exchange.endpoint.pool)
-        most = idle_share(pool.max_connections, len(belief.gateways()))
-        self.connections.release(exchange, answer, self.clock.now(), most)
+        max_idle = idle_share(pool.max_connections, len(belief.gateways()))
+        self.connection_pool.release(exchange, response, self.clock.now(), max_idle)
 
 
-class Attempts:
-    """The tries of one job; each way to forward says how it waits for the answer to a try.
+class AttemptLoop:
+    """Sends one job to endpoints until it has an outcome; subclasses wait for the response.
 
-    An endpoint with a free place begins a request as it arrives, so it is counted when it is sent:
-    then no answer that is lost, late or given up leaves it out.
+    An endpoint with a free slot starts a request on arrival, so the request is counted for usage
+    when it is sent. Counted at the response, it would be missed when the response is lost, late or
+    no longer awaited.
     """
 
-    begins_when_sent = True
+    starts_when_sent = True
 
-    def __init__(self, parts: EndpointAccess, job: Job) -> None:
-        self.parts = parts
+    def __init__(self, access: EndpointAccess, job: Job) -> None:
+        self.access = access
         self.job = job
-        self.now = parts.clock.now
-        self.tries = Tries()
-        self.pool = parts.choice.pool_for(job.route)
-        self.holding = Holding(parts.guard, job)
+        self.now = access.clock.now
+        self.history = AttemptHistory()
+        self.pool = access.choice.pool_for(job.route)
+        self.admission = CrashAdmission(access.guard, job)
 
     def run(self) -> Outcome:
-        """Try endpoints until the job has ended."""
-        if self.caller_has_left():
-            return Outcome(Ending.CALLER_GONE)
-        admitted = self.holding.admit()
+        """Try endpoints until there is an outcome."""
+        if self.is_caller_disconnected():
+            return Outcome(Ending.CALLER_DISCONNECTED)
+        admitted = self.admission.admit()
         if admitted.verdict is Verdict.REFUSED:
             return Outcome(Ending.NOT_RUN, retry_after_s=admitted.again_s)
-        self.parts.budget.first_attempt()
+        self.access.retry_budget.first_attempt()
         try:
             while True:
-                outcome = self._turn()
+                outcome = self._step()
                 if outcome is not None:
-                    return self.ended(outcome)
+                    return self.finish(outcome)
         finally:
             self.close_all()
-            self.holding.leave()
+            self.admission.release()
 
-    def ruling(self) -> Ruling:
-        """Return what holds for the request now."""
-        return self.holding.ruling(has_run=bool(self.tries.ran))
+    def assess(self) -> Ruling:
+        """Return the current crash assessment of the request."""
+        return self.admission.assess(has_run=bool(self.history.possibly_ran))
 
-    def await_answer(self) -> Outcome | None:
-        """Wait for the exchanges that are open; none if the job goes on."""
+    def await_response(self) -> Outcome | None:
+        """Wait for the open exchanges; return the outcome, or none if the job continues."""
         raise NotImplementedError
 
-    def ended(self, outcome: Outcome) -> Outcome:
-        """Return the outcome as it is told, while the open exchanges still stand."""
+    def finish(self, outcome: Outcome) -> Outcome:
+        """Return the final outcome; called before the open exchanges are closed."""
         return outcome
 
-    def caller_has_left(self) -> bool:
-        """Return whether the caller left while its request waited to be read."""
-        return self.job.caller_socket is not None and has_ended(self.job.caller_socket)
+    def is_caller_disconnected(self) -> bool:
+        """Return whether the caller disconnected while its request was queued."""
+        return self.job.caller_socket is not None and is_disconnected(self.job.caller_socket)
 
     def headers(self, time_left: float, instance: str) -> dict[str, str]:
-        """Return the headers with which the job goes to an endpoint."""
+        """Return the headers to send to an endpoint."""
         return to_endpoint(self.job.headers, time_left, instance, self.job.identity.organisation)
 
-    def next_try(self) -> Outcome | None:
-        """Send to one more endpoint, or end if there is none."""
-        tries = self.tries
-        if len(tries.ran) >= self.job.route.max_attempts:
-            return self.given_up(Ending.UNKNOWN)
-        if tries.may_have_run and not self.job.route.may_repeat:
-            return self.given_up(Ending.UNKNOWN)
-        is_last = tries.rounds >= REJECTED_ROUNDS
-        chosen = self.holding.choose(self._pick, self.ruling(), is_last)
+    def start_attempt(self) -> Outcome | None:
+        """Send to one more endpoint, or return the outcome if there is none left."""
+        history = self.history
+        if len(history.possibly_ran) >= self.job.route.max_attempts:
+            return self.give_up(Ending.UNKNOWN)
+        if history.may_have_run and not self.job.route.may_repeat:
+            return self.give_up(Ending.UNKNOWN)
+        is_last = history.rejection_rounds >= MAX_REJECTION_ROUNDS
+        chosen = self.admission.choose(self._choose_endpoint, self.assess(), is_last)
         if chosen is not None:
             self.send(chosen)
             return None
-        if not tries.rejected and not self.holding.waits:
-            return self._nobody_left()
-        tries.rounds += 1
-        if tries.rounds > REJECTED_ROUNDS:
-            return self.given_up(Ending.NOT_RUN)
-        tries.rejected.clear()
-        return self._pause(REJECTED_PAUSE_S)
-
-    def _pick(self, taken: Set[Start]) -> Endpoint | None:
-        """Return an endpoint that it was not at, none of those that are taken."""
-        endpoints = self.parts.picture.belief.in_pool(self.pool)
-        return self.parts.choice.choose(endpoints, self.tries.passed_over | taken, self.now())
-
-    def _held_back(self) -> Outcome | None:
-        """Return how it ends if too many endpoints ended under it; none if it may go on."""
-        ruling = self.ruling()
-        if ruling.verdict is Verdict.REFUSED or len(self.tries.ended) >= ENDED_MOST:
-            return self.given_up(Ending.NOT_RUN, ruling.again_s)
+        if not history.rejected and not self.admission.must_wait:
+            return self._no_endpoint_left()
+        history.rejection_rounds += 1
+        if history.rejection_rounds > MAX_REJECTION_ROUNDS:
+            return self.give_up(Ending.NOT_RUN)
+        history.rejected.clear()
+        return self._pause(REJECTION_PAUSE_S)
+
+    def _choose_endpoint(self, taken: Set[Start]) -> Endpoint | None:
+        """Return an endpoint that was not tried yet and is not in ``taken``."""
+        endpoints = self.access.fleet_view.belief.in_pool(self.pool)
+        return self.access.choice.choose(endpoints, self.history.excluded | taken, self.now())
+
+    def _stop_after_crashes(self) -> Outcome | None:
+        """Return the outcome if too many endpoints crashed; none if the job may continue."""
+        assessment = self.assess()
+        if assessment.verdict is Verdict.REFUSED or len(self.history.crashed) >= MAX_CRASHES:
+            return self.give_up(Ending.NOT_RUN, assessment.again_s)
         return None
 
-    def _nobody_left(self) -> Outcome:
-        """End it at once: it was everywhere where somebody listens."""
-        unreachable = len(self.tries.unreachable)
-        return self.given_up(Ending.NOT_RUN, NOBODY_LEFT_S if unreachable else RETRY_AFTER_S)
+    def _no_endpoint_left(self) -> Outcome:
+        """Give up at once: every reachable endpoint was tried."""
+        unreachable = len(self.history.unreachable)
+        return self.give_up(
+            Ending.NOT_RUN, UNREACHABLE_RETRY_AFTER_S if unreachable else RETRY_AFTER_S
+        )
 
-    def send(self, endpoint: Endpoint, on_new: bool = False) -> None:
-        """Send to an endpoint while there is time; the exchange is open if that worked.
+    def send(self, endpoint: Endpoint, force_new: bool = False) -> None:
+        """Send to an endpoint before the deadline; on success the exchange is left open.
 
-        :param on_new: whether it takes a new connection though others are kept
+        :param force_new: whether to open a new connection even if idle ones are pooled
         """
         now = self.now()
         left = self.job.deadline - now
-        if left <= 0.0:  # the process stood still since it looked whether there was time
+        if left <= 0.0:  # the process was paused since the deadline was checked
             return
-        self.tries.sent_at[endpoint.start] = now
-        ident = self.job.request_id
-        on_new = on_new or not ident  # nothing would tell its answer from a second one before it
+        self.history.sent_at[endpoint.start] = now
+        request_id = self.job.request_id
+        # Without an id nothing tells its response from a duplicate of an earlier one.
+        force_new = force_new or not request_id
         try:
-            exchange = self.parts.connections.acquire(endpoint, now, left, on_new, ident)
+            exchange = self.access.connection_pool.acquire(
+                endpoint, now, left, force_new, request_id
+            )
         except ExchangeError as error:
-            self.endpoint_failed(endpoint, error, ran=False)
+            self.record_exchange_error(endpoint, error, ran=False)
             return
-        self.parts.choice.began(endpoint)
+        self.access.choice.began(endpoint)
         headers = self.headers(left, endpoint.instance)
         try:
             exchange.send(self.job.method, self.job.target, headers, self.job.body)
         except ExchangeError as error:
-            self.parts.choice.finished(endpoint)
-            self.endpoint_failed(endpoint, error, ran=not exchange.reused)
+            self.access.choice.finished(endpoint)
+            self.record_exchange_error(endpoint, error, ran=not exchange.reused)
             return
-        self.tries.open.append(exchange)
-        if self.begins_when_sent:
-            self.begun(endpoint, now)
-
-    def begun(self, endpoint: Endpoint, at: float) -> None:
-        """Count the job as begun at an endpoint, for the usage of its organisation."""
-        if self.parts.counting is not None:
-            self.tries.begun_at[endpoint.start] = at
-            self.parts.counting.began(self.job.identity.organisation, at)
-
-    def not_begun(self, endpoint: Endpoint) -> None:
-        """Take that back: the endpoint said so, or it never saw the job."""
-        at = self.tries.begun_at.pop(endpoint.start, None)
+        self.history.open_exchanges.append(exchange)
+        if self.starts_when_sent:
+            self.record_start(endpoint, now)
+
+    def record_start(self, endpoint: Endpoint, at: float) -> None:
+        """Count the job as started at an endpoint, for the usage of its organisation."""
+        if self.access.usage_counter is not None:
+            self.history.started_at[endpoint.start] = at
+            self.access.usage_counter.began(self.job.identity.organisation, at)
+
+    def retract_start(self, endpoint: Endpoint) -> None:
+        """Undo that count: the endpoint did not run the job, or never received it."""
+        at = self.history.started_at.pop(endpoint.start, None)
         if at is not None:
-            self.parts.counting.did_not_begin(self.job.identity.organisation, at)
+            self.access.usage_counter.did_not_begin(self.job.identity.organisation, at)
 
-    def closed(self, exchange: Exchange) -> None:
-        """Note that an exchange is over."""
-        self.tries.open.remove(exchange)
-        self.parts.choice.finished(exchange.endpoint)
+    def record_closed(self, exchange: Exchange) -> None:
+        """Remove an exchange that is finished."""
+        self.history.open_exchanges.remove(exchange)
+        self.access.choice.finished(exchange.endpoint)
 
     def close_all(self) -> None:
-        """Close the exchanges that are still open; most endpoints then drop the request."""
-        for exchange in list(self.tries.open):
+        """Close the open exchanges; most endpoints then cancel the request."""
+        for exchange in list(self.history.open_exchanges):
             exchange.close()
-            self.closed(exchange)
+            self.record_closed(exchange)
 
     def is_own(self, exchange: Exchange, head: AnswerHead) -> bool:
-        """Return whether an answer is to this job; the connection is closed if it is not."""
+        """Return whether a response belongs to this job; else close the connection."""
         if exchange.is_own(head):
             return True
         exchange.close()
-        self.parts.connections.count("answer_not_own", "named" if head.request_id else "unnamed")
-        error = ExchangeError(True, f"the answer to {head.request_id or 'nobody knows what'}")
-        self.endpoint_failed(exchange.endpoint, error, ran=True)
+        self.access.connection_pool.count(
+            "answer_not_own", "named" if head.request_id else "unnamed"
+        )
+        error = ExchangeError(True, f"response to {head.request_id or 'an unnamed request'}")
+        self.record_exchange_error(exchange.endpoint, error, ran=True)
         return False
 
-    def rejected(self, endpoint: Endpoint, status: int) -> None:
-        """Note that an endpoint said it did not run the job."""
-        self.not_begun(endpoint)
-        self.tries.rejected.add(endpoint.start)
+    def record_rejection(self, endpoint: Endpoint, status: int) -> None:
+        """Record that an endpoint reported that it did not run the job."""
+        self.retract_start(endpoint)
+        self.history.rejected.add(endpoint.start)
         log_state(
             "rejected", request=self.job.request_id, instance=endpoint.instance, status=status
         )
 
-    def endpoint_failed(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
-        """Note that an endpoint brought no sound answer, and prefer others for a while.
+    def record_exchange_error(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
+        """Record that an endpoint gave no valid response, and prefer others for a while.
 
         :param ran: whether the job may have run there
         """
-        if error.broken and ran and self._has_ended(endpoint, error):
-            error = ExchangeError(True, str(error))  # no dropped connection, whatever it was kept
+        if error.broken and ran and self._has_crashed(endpoint, error):
+            error = ExchangeError(True, str(error))  # a crash, even on a reused connection
         if error.stale:
-            self._connection_stale(endpoint, error, ran)
+            self._record_stale_connection(endpoint, error, ran)
         else:
-            pause = self.parts.choice.failed(endpoint, self.now())
-            self.note_failure(endpoint, error, ran, pause)
+            pause = self.access.choice.failed(endpoint, self.now())
+            self.record_failure(endpoint, error, ran, pause)
 
-    def _has_ended(self, endpoint: Endpoint, error: ExchangeError) -> bool:
-        """Return whether an endpoint that broke its connection has ended under this request."""
-        signs = Signs(
-            self.now() - self.tries.sent_at[endpoint.start],
+    def _has_crashed(self, endpoint: Endpoint, error: ExchangeError) -> bool:
+        """Return whether an endpoint that broke its connection crashed during this request."""
+        broken = ConnectionBreak(
+            self.now() - self.history.sent_at[endpoint.start],
             error.stale,
-            sum(one.endpoint.start == endpoint.start for one in self.tries.open),
-            lambda: self.parts.choice.open_at(endpoint),
+            sum(one.endpoint.start == endpoint.start for one in self.history.open_exchanges),
+            lambda: self.access.choice.open_at(endpoint),
         )
-        if not self.parts.guard.broke(self.job, endpoint, signs):
+        if not self.access.guard.record_broken_connection(self.job, endpoint, broken):
             return False
-        self.tries.ended.add(endpoint.start)
-        self.parts.connections.close_idle(endpoint.start)
+        self.history.crashed.add(endpoint.start)
+        self.access.connection_pool.close_idle(endpoint.start)
         return True
 
-    def note_failure(
+    def record_failure(
         self, endpoint: Endpoint, error: ExchangeError, ran: bool, pause: float
     ) -> None:
-        """Note a failure.
+        """Record a failed attempt and exclude its endpoint.
 
-        :param pause: seconds for which others are preferred
+        :param pause: seconds for which other endpoints are preferred
         """
         if ran:
-            self.tries.ran.add(endpoint.start)
-            self.tries.may_have_run = True
-        elif error.nobody:
-            self.tries.unreachable.add(endpoint.start)
+            self.history.possibly_ran.add(endpoint.start)
+            self.history.may_have_run = True
+        elif error.refused:
+            self.history.unreachable.add(endpoint.start)
         else:
-            self.tries.rejected.add(endpoint.start)
+            self.history.rejected.add(endpoint.start)
         log_state(
             "endpoint_failed",
             request=self.job.request_id,
@@ -286,11 +294,11 @@
             avoided_s=pause,
         )
 
-    def _connection_stale(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
-        """Note that a kept connection was closed; the endpoint may be asked on a new one."""
-        self.not_begun(endpoint)
-        self.parts.connections.close_idle(endpoint.start)  # the others rested as long
-        self.tries.may_have_run |= ran
+    def _record_stale_connection(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
+        """Record that an idle connection had been closed; a new one may be opened."""
+        self.retract_start(endpoint)
+        self.access.connection_pool.close_idle(endpoint.start)  # the others were idle as long
+        self.history.may_have_run |= ran
         log_state(
             "connection_stale",
             request=self.job.request_id,
@@ -299,29 +307,29 @@
             may_have_run=ran,
         )
 
-    def given_up(self, ending: Ending, again_s: float = RETRY_AFTER_S) -> Outcome:
-        """Return what the caller may be told, given all that was tried.
+    def give_up(self, ending: Ending, retry_after_s: float = RETRY_AFTER_S) -> Outcome:
+        """Return the outcome to report, given all attempts so far.
 
-        :param again_s: after which it may come again, if it was not run
+        :param retry_after_s: seconds after which the caller may retry, if the job was not run
         """
-        failure = self.tries.last_failure
+        failure = self.history.last_error_response
         if failure is not None:
             return Outcome(Ending.ANSWERED, failure)
-        ran = self.tries.may_have_run or bool(self.tries.open)
+        ran = self.history.may_have_run or bool(self.history.open_exchanges)
         if ending is Ending.NOT_RUN and ran:
             return Outcome(Ending.UNKNOWN)
-        if ending is Ending.TIME_OVER and not ran:
+        if ending is Ending.TIMED_OUT and not ran:
             return Outcome(Ending.NOT_RUN, retry_after_s=RETRY_AFTER_S)
-        return Outcome(ending, retry_after_s=again_s)
-
-    def _turn(self) -> Outcome | None:
-        if self.now() >= self.job.deadline - ANSWER_MARGIN_S:
-            return self.given_up(Ending.TIME_OVER)
-        if not self.tries.open:
-            outcome = self._held_back() or self.next_try()
-            if outcome is not None or not self.tries.open:
+        return Outcome(ending, retry_after_s=retry_after_s)
+
+    def _step(self) -> Outcome | None:
+        if self.now() >= self.job.deadline - RESPONSE_MARGIN_S:
+            return self.give_up(Ending.TIMED_OUT)
+        if not self.history.open_exchanges:
+            outcome = self._stop_after_crashes() or self.start_attempt()
+            if outcome is not None or not self.history.open_exchanges:
                 return outcome
-        return self.await_answer()
+        return self.await_response()
 
     def _pause(self, seconds: float) -> Outcome | None:
         caller = self.job.caller_socket
@@ -330,9 +338,9 @@
             return None
         poll = select.poll()
         poll.register(caller.fileno(), select.POLLIN)
-        if poll.poll(int(seconds * 1000)) and has_ended(caller):
-            return Outcome(Ending.CALLER_GONE)
+        if poll.poll(int(seconds * 1000)) and is_disconnected(caller):
+            return Outcome(Ending.CALLER_DISCONNECTED)
         return None
 
 
-__all__ = ["ANSWER_MARGIN_S", "Attempts", "EndpointAccess"]
+__all__ = ["RESPONSE_MARGIN_S", "AttemptLoop", "EndpointAccess"]
--- a/src/threadramp/edge/caller_stream.py
+++ b/src/threadramp/edge/caller_stream.py
@@ -1,4 +1,4 @@
-"""Passes the events of a stream on to its caller as they come, each one whole."""
+"""Relays the events of a stream to its caller, each only when it is complete."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class StreamBrokenError(Exception):
-    """A stream that stopped before its end.
+    """A stream that was interrupted before its end.
 
-    :param instance: endpoint that it came from
+    :param instance: id of the endpoint that it came from
     :param broken: whether the endpoint closed or reset the connection
     """
 
@@ -35,12 +35,12 @@
         super().__init__(reason)
 
 
-class CallerLeftError(Exception):
-    """The caller takes no more."""
+class CallerDisconnectedError(Exception):
+    """The caller disconnected."""
 
 
 class CallerStream:
-    """A stream as its caller has it, whichever endpoints it came from."""
+    """A stream as its caller receives it, from one or more endpoints in turn."""
 
     def __init__(
         self, job: Job, request: CallerRequest, closes: bool, now: Callable[[], float]
@@ -49,75 +49,77 @@
         self.request = request
         self.closes = closes
         self.now = now
-        self.begun = False
-        self.first = resume_after(request.headers)  # what the caller had before
-        self.last = self.first
-        self.opened_at = now()
+        self.started = False
+        self.resumed_after = resume_after(request.headers)  # last event of an earlier response
+        self.last_event = self.resumed_after
+        self.created_at = now()
         self.first_event_at = 0.0
 
     @property
-    def passed(self) -> int:
-        """Return the number of events that were passed on."""
-        return self.last - self.first
+    def event_count(self) -> int:
+        """Return the number of events that were relayed."""
+        return self.last_event - self.resumed_after
 
     @property
     def first_event_s(self) -> float | None:
-        """Return the seconds until the first event was passed on, none if none was."""
-        return self.first_event_at - self.opened_at if self.first_event_at else None
+        """Return the seconds until the first event was relayed, none if none was."""
+        return self.first_event_at - self.created_at if self.first_event_at else None
 
-    def begin(self, response: BaseHTTPResponse) -> None:
-        """Send the head, which stays that of the first endpoint."""
-        if self.begun:
-            log_state("stream_resumed", request=self.job.request_id, after=self.last)
+    def start(self, response: BaseHTTPResponse) -> None:
+        """Send the response head; after a resumption the head of the first endpoint stays."""
+        if self.started:
+            log_state("stream_resumed", request=self.job.request_id, after=self.last_event)
             return
-        self.begun = True
+        self.started = True
         headers = to_caller(tuple(response.headers.iteritems()))
-        self.request.begin(response.status, headers, response.reason or "", self.closes)
+        self.request.start_response(response.status, headers, response.reason or "", self.closes)
 
-    def pass_events(
-        self, exchange: Exchange, response: BaseHTTPResponse, patience_s: Callable[[], float]
+    def relay(
+        self, exchange: Exchange, response: BaseHTTPResponse, read_timeout_s: Callable[[], float]
     ) -> None:
-        """Pass whole events on until the stream's end.
+        """Relay complete events until the end of the stream.
 
-        :param patience_s: returns for how long the endpoint may be silent now
-        :raises StreamBrokenError: if it stops before
-        :raises CallerLeftError: if the caller takes no more
+        :param read_timeout_s: returns the seconds to wait for the next bytes of the endpoint
+        :raises StreamBrokenError: if the stream is interrupted
+        :raises CallerDisconnectedError: if the caller disconnected
         """
         reader = EventReader()
         instance = exchange.endpoint.instance
         try:
-            exchange.connection.sock.settimeout(patience_s())
+            exchange.connection.sock.settimeout(read_timeout_s())
             for data in iter_body(response):
                 for event in reader.feed(data):
-                    self._pass_one(event, instance)
-                exchange.connection.sock.settimeout(patience_s())
+                    self._relay_event(event, instance)
+                exchange.connection.sock.settimeout(read_timeout_s())
         except (OSError, HTTPError, ValueError, AttributeError) as error:
             raise StreamBrokenError(instance, repr(error), is_connection_error(error)) from error
         if not reader.is_between_events:
-            raise StreamBrokenError(instance, "it stopped within an event", broken=True)
+            raise StreamBrokenError(instance, "the stream ended within an event", broken=True)
 
-    def cut(self, ending: Ending) -> None:
-        """Cut the caller's connection, so that the stream can not look complete."""
-        self.request.cut()
+    def abort(self, ending: Ending) -> None:
+        """Cut the caller's connection, so that the stream cannot look complete."""
+        self.request.abort()
         log_state(
-            "stream_cut", request=self.job.request_id, ending=ending.value, events=self.passed
+            "stream_cut", request=self.job.request_id, ending=ending.value, events=self.event_count
         )
 
-    def _pass_one(self, event: Event, instance: str) -> None:
-        """Pass an event on.
+    def _relay_event(self, event: Event, instance: str) -> None:
+        """Relay one event.
 
-        :raises StreamBrokenError: if it is not the next one
-        :raises CallerLeftError: if the caller takes no more
+        :raises StreamBrokenError: if it is not the next event
+        :raises CallerDisconnectedError: if the caller disconnected
         """
-        follows = event.number == self.last + 1
-        if not follows and (self.job.route.may_repeat or event.number <= self.last):
-            raise StreamBrokenError(instance, f"event {event.number} after {self.last}")
+        follows = event.number == self.last_event + 1
+        if not follows and (self.job.route.may_repeat or event.number <= self.last_event):
+            raise StreamBrokenError(
+                instance, f"event {event.number} follows event {self.last_event}"
+            )
         try:
             self.request.write(event.raw)
         except OSError as error:
-            raise CallerLeftError from error
-        self.last = event.number
+            raise CallerDisconnectedError from error
+        self.last_event = event.number
         self.first_event_at = self.first_event_at or self.now()
 
 
-__all__ = ["CallerLeftError", "CallerStream", "StreamBrokenError"]
+__all__ = ["CallerDisconnectedError", "CallerStream", "StreamBrokenError"]
--- a/src/threadramp/edge/connection_breaks.py
+++ b/src/threadramp/edge/connection_breaks.py
@@ -1,4 +1,4 @@
-"""What a process sees of an endpoint that broke a connection while it owed an answer."""
+"""What is known of an endpoint that broke a connection before its response was complete."""
 
 from __future__ import annotations
 
@@ -17,96 +17,98 @@
 
     from threadramp.fleet.model import Start
 
-# All connections to an endpoint that ends break within some ms; threads that wait for a processor
-# notice a little later.
-OTHERS_S = 0.1
-OTHERS_LOOK_S = 0.005
+# All connections to a crashing endpoint break within some ms; threads that wait for a CPU notice a
+# little later.
+OTHERS_WAIT_S = 0.1
+OTHERS_POLL_S = 0.005
 
 
 @dataclass(frozen=True)
-class Signs:
-    """What one request tells of its break.
+class ConnectionBreak:
+    """A broken connection as one request saw it.
 
-    :param lived_s: seconds from its sending until the break
-    :param kept: whether its connection was a kept one
-    :param own: exchanges of this request that still count as open at the endpoint
-    :param open_there: returns the requests of this process that are open at the endpoint
+    :param sent_ago_s: seconds from sending the request until the break
+    :param reused: whether the connection was a reused one
+    :param own_open: exchanges of this request that still count as open at the endpoint
+    :param count_open: returns the number of requests of this process open at the endpoint
     """
 
-    lived_s: float
-    kept: bool
-    own: int
-    open_there: Callable[[], int]
+    sent_ago_s: float
+    reused: bool
+    own_open: int
+    count_open: Callable[[], int]
 
 
 @dataclass(frozen=True)
-class Look:
-    """What a new connection showed, and after how long."""
+class ProbeResult:
+    """The state that a probe found, and the seconds that it took."""
 
     state: EndpointState
     took_s: float
 
 
-def timed_probe(address: str, look: Callable[[str], EndpointState] = probe_endpoint) -> Look:
-    """Look at an endpoint and return how long it took to show what it did.
+def timed_probe(
+    address: str, probe: Callable[[str], EndpointState] = probe_endpoint
+) -> ProbeResult:
+    """Probe an endpoint and return its state and the duration.
 
-    Where it breaks a connection it is looked at once more, and the longer look counts.
+    If the endpoint breaks the connection it is probed once more, and the longer duration counts.
     """
-    first = _timed(address, look)
+    first = _measure(address, probe)
     if first.state is not EndpointState.BREAKS:
         return first
-    second = _timed(address, look)
-    return Look(second.state, max(first.took_s, second.took_s))
+    second = _measure(address, probe)
+    return ProbeResult(second.state, max(first.took_s, second.took_s))
 
 
-def _timed(address: str, look: Callable[[str], EndpointState]) -> Look:
-    began = steady_s()
-    state = look(address)
-    return Look(state, steady_s() - began)
+def _measure(address: str, probe: Callable[[str], EndpointState]) -> ProbeResult:
+    started_at = steady_s()
+    state = probe(address)
+    return ProbeResult(state, steady_s() - started_at)
 
 
-class Breaking:
-    """Breaks that are being looked at; their exchanges may still be counted as open."""
+class PendingBreaks:
+    """Breaks whose endpoint is being probed; their exchanges may still be counted as open."""
 
     def __init__(self) -> None:
-        self.looking: Counter[Start] = Counter()
-        self.counted: Counter[Start] = Counter()
-        self.answered: set[Start] = set()
+        self.pending: Counter[Start] = Counter()
+        self.pending_open: Counter[Start] = Counter()
+        self.responded: set[Start] = set()
         self.lock = Lock()
 
     @contextmanager
-    def looked_at(self, start: Start, signs: Signs) -> Iterator[None]:
-        """Count a request as broken while it is looked at."""
+    def probing(self, incarnation: Start, broken: ConnectionBreak) -> Iterator[None]:
+        """Count a request as broken while its endpoint is probed."""
         with self.lock:
-            self.looking[start] += 1
-            self.counted[start] += signs.own
+            self.pending[incarnation] += 1
+            self.pending_open[incarnation] += broken.own_open
         try:
             yield
         finally:
-            self._looked(start, signs)
+            self._finish_probe(incarnation, broken)
 
-    def note_answer(self, start: Start) -> None:
-        """Note an answer of an endpoint; it counts if a break of it is being looked at."""
-        if start in self.looking:
+    def record_response(self, incarnation: Start) -> None:
+        """Record a response of an endpoint if a break of it is being probed."""
+        if incarnation in self.pending:
             with self.lock:
-                self.answered.add(start)
+                self.responded.add(incarnation)
 
-    def others_go_on(self, start: Start, signs: Signs) -> bool:
-        """Return whether other requests stay open or are answered there, after a short wait."""
-        until = steady_s() + OTHERS_S
-        while signs.open_there() > self.counted[start]:
-            if steady_s() > until:
+    def others_still_active(self, incarnation: Start, broken: ConnectionBreak) -> bool:
+        """Return whether other requests stay open or got a response there, after a short wait."""
+        deadline = steady_s() + OTHERS_WAIT_S
+        while broken.count_open() > self.pending_open[incarnation]:
+            if steady_s() > deadline:
                 return True
-            time.sleep(OTHERS_LOOK_S)
-        return start in self.answered
+            time.sleep(OTHERS_POLL_S)
+        return incarnation in self.responded
 
-    def _looked(self, start: Start, signs: Signs) -> None:
+    def _finish_probe(self, incarnation: Start, broken: ConnectionBreak) -> None:
         with self.lock:
-            self.looking[start] -= 1
-            self.counted[start] -= signs.own
-            if not self.looking[start]:
-                del self.looking[start], self.counted[start]
-                self.answered.discard(start)
+            self.pending[incarnation] -= 1
+            self.pending_open[incarnation] -= broken.own_open
+            if not self.pending[incarnation]:
+                del self.pending[incarnation], self.pending_open[incarnation]
+                self.responded.discard(incarnation)
 
 
-__all__ = ["Breaking", "Look", "Signs", "timed_probe"]
+__all__ = ["ConnectionBreak", "PendingBreaks", "ProbeResult", "timed_probe"]
--- a/src/threadramp/edge/connection_pool.py
+++ b/src/threadramp/edge/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, kept open between requests."""
+"""A pool of HTTP connections to endpoints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from urllib3.exceptions import HTTPError
 
-from threadramp.edge.endpoint_connection import SHOWN_BYTES, EndpointConnection
+from threadramp.edge.endpoint_connection import SURPLUS_SAMPLE_BYTES, EndpointConnection
 from threadramp.edge.exchange import Exchange, ExchangeError
 from threadramp.platform.headers import named_id
 
@@ -22,26 +22,26 @@
     from threadramp.edge.exchange import EndpointResponse
     from threadramp.fleet.model import Endpoint, Start
 
-CONNECT_TIMEOUT_S = 0.3  # a sound endpoint answers within a few ms, across regions within tens
-IDLE_S = 3.0  # a kept connection is used again within this time if the endpoint names none
-IDLE_MARGIN_S = 1.0  # before the time that it names
-IDLE_MOST_S = 30.0  # whatever it names
+CONNECT_TIMEOUT_S = 0.3  # a healthy endpoint accepts within a few ms, across regions within tens
+DEFAULT_IDLE_S = 3.0  # how long a connection is reused if the endpoint announces no time
+IDLE_MARGIN_S = 1.0  # subtracted from the announced time
+MAX_IDLE_S = 30.0  # upper bound for any announced time
 
 
 @dataclass(frozen=True, eq=False)
-class _Idle:
+class _IdleConnection:
     connection: EndpointConnection
-    until: float
+    expires_at: float
 
 
 class ConnectionPool:
-    """Opens, keeps and hands out connections to endpoints.
+    """Opens connections to endpoints and reuses idle ones.
 
-    :param count: counts by kind and label
+    :param count: increments a counter by kind and label
     """
 
     def __init__(self, count: Callable[[str, str], None] = lambda kind, label: None) -> None:
-        self.idle: dict[Start, deque[_Idle]] = {}
+        self.idle: dict[Start, deque[_IdleConnection]] = {}
         self.lock = threading.Lock()
         self.opened = 0
         self.count = count
@@ -54,117 +54,122 @@
         force_new: bool = False,
         request_id: str = "",
     ) -> Exchange:
-        """Return an exchange on a kept or a new connection.
+        """Return an exchange on an idle or a new connection.
 
-        :param force_new: whether kept ones are left alone, since they may pass nothing any more
-        :param request_id: a connection that carried this request may bring its answer again
-        :raises ExchangeError: if the endpoint can not be reached
+        :param force_new: whether to skip idle connections, which may be unresponsive
+        :param request_id: skips connections that carried this id: they may repeat its response
+        :raises ExchangeError: if the endpoint cannot be reached
         """
-        kept = None if force_new else self._kept(endpoint, now, request_id)
-        first_s = min(CONNECT_TIMEOUT_S, timeout_s)  # to connect, and to send the request
-        if kept is not None:
-            kept.timeout = first_s
-            return Exchange(endpoint, kept, True)
+        reused = None if force_new else self._take_idle(endpoint, now, request_id)
+        send_timeout_s = min(CONNECT_TIMEOUT_S, timeout_s)  # to connect and to send
+        if reused is not None:
+            reused.timeout = send_timeout_s
+            return Exchange(endpoint, reused, True)
         host, _, port = endpoint.address.partition(":")
-        connection = EndpointConnection(host, int(port), first_s)
+        connection = EndpointConnection(host, int(port), send_timeout_s)
         try:
             connection.connect()
         except (OSError, HTTPError) as error:
             connection.close()
-            nobody = isinstance(error.__cause__ or error, ConnectionRefusedError)
-            raise ExchangeError(False, repr(error), nobody=nobody) from error
+            refused = isinstance(error.__cause__ or error, ConnectionRefusedError)
+            raise ExchangeError(False, repr(error), refused=refused) from error
         with self.lock:
             self.opened += 1
         return Exchange(endpoint, connection, False)
 
     def release(
-        self, exchange: Exchange, answer: EndpointResponse, now: float, most: int = 1
+        self, exchange: Exchange, response: EndpointResponse, now: float, max_idle: int = 1
     ) -> None:
-        """Keep the connection of an exchange whose answer was read whole.
+        """Return the connection of an exchange to the pool, its response read completely.
 
-        :param most: connections that may be kept to this endpoint
+        :param max_idle: number of idle connections to keep to this endpoint
         """
-        if exchange.duplicates:  # its own response may be repeated as well
+        if exchange.duplicates:  # this response may be repeated as well
             self.count("answer_not_own", "named")
             exchange.connection.close()
             return
-        unnamed = exchange.ident and not answer.head.request_id  # nor would the next one be known
-        if answer.head.leaving or unnamed or exchange.connection.sock is None:
+        # An endpoint that names no id would not name it in the next response either.
+        lacks_id = exchange.request_id and not response.head.request_id
+        if response.head.leaving or lacks_id or exchange.connection.sock is None:
             exchange.connection.close()
             return
-        surplus = exchange.connection.surplus()
+        surplus = exchange.connection.read_surplus()
         if surplus:
-            self._surplus(exchange, surplus, "behind an answer")
+            self._discard_with_surplus(exchange, surplus, "behind an answer")
             return
-        until = now + _idle_s(answer)
+        expires_at = now + _idle_timeout_s(response)
         with self.lock:
-            row = self.idle.setdefault(exchange.endpoint.start, deque())
-            if len(row) < most:
-                row.append(_Idle(exchange.connection, until))
+            queue = self.idle.setdefault(exchange.endpoint.start, deque())
+            if len(queue) < max_idle:
+                queue.append(_IdleConnection(exchange.connection, expires_at))
                 return
         exchange.connection.close()
 
-    def retain_only(self, starts: set[Start]) -> None:
-        """Close the kept connections of all starts but these."""
-        for gone in [one for one in list(self.idle) if one not in starts]:
+    def retain_only(self, incarnations: set[Start]) -> None:
+        """Close the idle connections of all other incarnations."""
+        for gone in [one for one in list(self.idle) if one not in incarnations]:
             self.close_idle(gone)
 
-    def close_idle(self, start: Start) -> None:
-        """Close the kept connections of one start of an endpoint."""
+    def close_idle(self, incarnation: Start) -> None:
+        """Close the idle connections of one incarnation of an endpoint."""
         with self.lock:
-            row = self.idle.pop(start, ())
-        for idle in row:
+            queue = self.idle.pop(incarnation, ())
+        for idle in queue:
             idle.connection.close()
 
-    def _kept(self, endpoint: Endpoint, now: float, request_id: str) -> EndpointConnection | None:
-        """Take a kept connection that did not carry an id, none if there is none."""
+    def _take_idle(
+        self, endpoint: Endpoint, now: float, request_id: str
+    ) -> EndpointConnection | None:
+        """Take an idle connection that has not carried this id, none if there is none."""
         while True:
             with self.lock:
-                row = self.idle.get(endpoint.start, deque())
-                fitting = (one for one in reversed(row) if request_id not in one.connection.carried)
+                queue = self.idle.get(endpoint.start, deque())
+                fitting = (
+                    one for one in reversed(queue) if request_id not in one.connection.request_ids
+                )
                 idle = next(fitting, None)
                 if idle is None:
                     return None
-                row.remove(idle)
-            if idle.until > now and not is_readable(idle.connection.sock.fileno()):
+                queue.remove(idle)
+            if idle.expires_at > now and not is_readable(idle.connection.sock.fileno()):
                 return idle.connection
-            self._let_go(endpoint, idle.connection)
+            self._discard(endpoint, idle.connection)
 
-    def _let_go(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
-        """Close a connection that rested too long, was closed, or holds surplus bytes."""
+    def _discard(self, endpoint: Endpoint, connection: EndpointConnection) -> None:
+        """Close a connection that expired, was closed by the endpoint or holds surplus bytes."""
         surplus = b""
         with suppress(OSError):
-            if is_readable(connection.sock.fileno()):  # a socket with a time-out would wait below
-                surplus = connection.sock.recv(SHOWN_BYTES, socket.MSG_PEEK)
+            if is_readable(connection.sock.fileno()):  # recv would block on a socket with a timeout
+                surplus = connection.sock.recv(SURPLUS_SAMPLE_BYTES, socket.MSG_PEEK)
         if surplus:
-            self._surplus(Exchange(endpoint, connection, True), surplus, "at rest")
+            self._discard_with_surplus(Exchange(endpoint, connection, True), surplus, "at rest")
         else:
             connection.close()
 
-    def _surplus(self, exchange: Exchange, surplus: bytes, when: str) -> None:
-        """Close a connection that passed bytes which belong to no request."""
-        last = next(reversed(exchange.connection.carried), "")
-        exchange.ident = last
+    def _discard_with_surplus(self, exchange: Exchange, surplus: bytes, when: str) -> None:
+        """Close a connection that delivered bytes which belong to no request."""
+        last = next(reversed(exchange.connection.request_ids), "")
+        exchange.request_id = last
         exchange.log("surplus", named=named_id(surplus), bytes=len(surplus), when=when)
         self.count("surplus", when)
         exchange.close()
 
 
 def is_readable(descriptor: int) -> bool:
-    """Return whether bytes or an end wait at a descriptor."""
+    """Return whether a descriptor has bytes to read or was closed by the peer."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     return bool(poll.poll(0))
 
 
-def _idle_s(answer: EndpointResponse) -> float:
-    """Return the seconds for which a connection is used again, by what the endpoint names."""
-    for name, value in answer.headers:
+def _idle_timeout_s(response: EndpointResponse) -> float:
+    """Return the seconds for which an idle connection is reused, from the Keep-Alive header."""
+    for name, value in response.headers:
         if name.lower() == "keep-alive":
             digits = value.rpartition("=")[2].strip()
             if digits.isdigit():
-                return min(IDLE_MOST_S, float(digits) - IDLE_MARGIN_S)
-    return IDLE_S
+                return min(MAX_IDLE_S, float(digits) - IDLE_MARGIN_S)
+    return DEFAULT_IDLE_S
 
 
 __all__ = ["ConnectionPool", "is_readable"]
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -1,12 +1,12 @@
-"""Holds back requests under which endpoints ended, and notes under which they do.
+"""Holds back requests that crash endpoints, and records which requests do.
 
-What is known of a request is worked out only while any request is suspected, so that it costs
-nothing on a calm day. Whether an endpoint ended is looked at where its connection broke: a
-connection that was cut while its endpoint lives on is held against nobody, and neither is the end
-of an endpoint that had said it leaves.
+A request is looked up only while any request is suspect, so there is no cost in normal operation.
+When a connection breaks, its endpoint is probed. No crash is attributed if the endpoint is still
+alive, nor if it had announced that it was leaving.
 
-Where the port goes on taking connections, what is seen may be an end or not. It is held against the
-request at once, else a request ends all endpoints before the first is back, and settled after.
+If its port still accepts connections, the endpoint may or may not have crashed. The crash is
+attributed to the request at once and confirmed or retracted later: otherwise one request could
+crash all endpoints before the first of them is back.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from threadramp.edge.connection_breaks import Breaking, Look, timed_probe
-from threadramp.edge.end_watch import EndWatch
+from threadramp.edge.connection_breaks import PendingBreaks, ProbeResult, timed_probe
+from threadramp.edge.crash_resolver import CrashResolver
 from threadramp.edge.endpoint_probe import EndpointState, probe_endpoint
 from threadramp.policy.crash_book import FREE, Ruling, Verdict
 from threadramp.policy.fingerprint import shown
@@ -26,200 +26,208 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.edge.connection_breaks import Signs
+    from threadramp.edge.connection_breaks import ConnectionBreak
     from threadramp.edge.job import Job
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Endpoint, Start
     from threadramp.fleet.picture import Picture
     from threadramp.policy.crash_book import CrashBook
 
-LOOKED_S = 0.2  # all requests of an endpoint break at once; one look serves them
+PROBE_REUSE_S = 0.2  # all requests at an endpoint break at once and share one probe
 
 
 class CrashGuard:
-    """One for all threads of a process.
+    """Decides which requests may be sent; shared by all threads of a process.
 
-    :param claim: asks for the right to one trial of a refused request; of all boxes one gets it
-    :param count: counts by kind and label
-    :param look: tells whether a process listens at an address
+    :param claim: claims a numbered trial of a refused request; only one box gets it
+    :param count: increments a counter by kind and label
+    :param probe: returns whether a process listens at an address
     """
 
     def __init__(
         self,
         book: CrashBook,
         clock: Clock,
-        picture: Picture,
+        fleet_view: Picture,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
         count: Callable[[str, str], None] = lambda kind, label: None,
-        look: Callable[[str], EndpointState] = probe_endpoint,
+        probe: Callable[[str], EndpointState] = probe_endpoint,
     ) -> None:
         self.book = book
         self.clock = clock
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.claim = claim
         self.count = count
-        self.look = look
-        self.ends = EndWatch(book, clock, is_replaced=self._is_replaced)
-        self.breaking = Breaking()
-        self.looked: dict[Start, tuple[Look, float]] = {}
-        self.apart: set[Start] = set()
+        self.probe = probe
+        self.resolver = CrashResolver(book, clock, is_replaced=self._is_replaced)
+        self.pending_breaks = PendingBreaks()
+        self.recent_probes: dict[Start, tuple[ProbeResult, float]] = {}
+        self.isolated: set[Start] = set()
         self.lock = threading.Lock()
 
     def assess(self, fingerprint: Callable[[], bytes]) -> Ruling:
-        """Return what holds for a request.
+        """Return the assessment of a request.
 
-        :param fingerprint: works out what stands for it
+        :param fingerprint: computes its fingerprint
         """
         if self.book.is_empty:
             return FREE
         return self.book.ruling(fingerprint(), self.clock.time_of_day())
 
     def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Ruling:
-        """Return what holds for a request that is to be sent; a refused one may get a trial.
+        """Return the assessment of a request before it is sent; a refused one may get a trial.
 
-        :param name: the request's id or the sample's
+        :param name: the id of the request or of the sample
         """
-        ruling = self.assess(fingerprint)
-        if ruling.verdict is not Verdict.REFUSED:
-            return ruling
+        assessment = self.assess(fingerprint)
+        if assessment.verdict is not Verdict.REFUSED:
+            return assessment
         key = fingerprint()
         now = self.clock.time_of_day()
-        if ruling.trial and self.claim(key, ruling.trial):
-            self.book.tried(key, ruling.trial, now)
+        if assessment.trial and self.claim(key, assessment.trial):
+            self.book.tried(key, assessment.trial, now)
             self.count("crash", "trial")
             log_state(
                 "trial_of_refused",
                 request=name,
                 fingerprint=shown(key),
-                trial=ruling.trial,
-                crashes=ruling.crashes,
+                trial=assessment.trial,
+                crashes=assessment.crashes,
             )
-            return Ruling(Verdict.APART, ruling.crashes, ruling.trial)
+            return Ruling(Verdict.APART, assessment.crashes, assessment.trial)
         self.book.came_again(key, now)
         self.count("crash", "refused")
         log_state(
             "refused_after_crashes",
             request=name,
             fingerprint=shown(key),
-            crashes=ruling.crashes,
-            again_s=round(ruling.again_s, 1),
+            crashes=assessment.crashes,
+            again_s=round(assessment.again_s, 1),
         )
-        return ruling
+        return assessment
 
-    def broke(self, job: Job, endpoint: Endpoint, signs: Signs) -> bool:
-        """Note that an endpoint broke a connection while it owed an answer.
+    def record_broken_connection(
+        self, job: Job, endpoint: Endpoint, broken: ConnectionBreak
+    ) -> bool:
+        """Record that an endpoint broke a connection before its response was complete.
 
-        :returns: whether the endpoint has ended, as far as can be seen now
+        :returns: whether the endpoint has crashed, as far as is known now
         """
-        start = self.book.current(endpoint.start)
-        beside = signs.open_there() - signs.own
-        with self.breaking.looked_at(endpoint.start, signs):
-            look = self._look_at(endpoint)
-            listens = look.state is EndpointState.BREAKS
-            held = listens and may_have_ended(self._break_of(endpoint, signs, look))
+        incarnation = self.book.current(endpoint.start)
+        other_open = broken.count_open() - broken.own_open
+        with self.pending_breaks.probing(endpoint.start, broken):
+            probe = self._probe(endpoint)
+            listens = probe.state is EndpointState.BREAKS
+            attributed = listens and may_have_ended(self._describe_break(endpoint, broken, probe))
         log_state(
             "connection_broken",
             request=job.request_id,
             fingerprint=shown(job.fingerprint),
             instance=endpoint.instance,
-            endpoint=look.state.value,
-            beside=beside,
-            held=held,
+            endpoint=probe.state.value,
+            other_open=other_open,
+            attributed=attributed,
         )
-        if look.state is not EndpointState.ENDED and not held:
+        if probe.state is not EndpointState.ENDED and not attributed:
             return False
-        if not self._left(endpoint):
-            self.record_crash(job.request_id, job.fingerprint, start, listens)
+        if not self._was_leaving(endpoint):
+            self.record_crash(job.request_id, job.fingerprint, incarnation, listens)
             if listens:
-                self.ends.watch(start, endpoint.address, job.fingerprint)
+                self.resolver.resolve(incarnation, endpoint.address, job.fingerprint)
         return True
 
     def record_crash(
-        self, name: str, fingerprint: bytes, start: Start, listens: bool = False
+        self, name: str, fingerprint: bytes, incarnation: Start, listens: bool = False
     ) -> None:
-        """Note that a start of an endpoint ended while a request was open there.
+        """Record that an incarnation of an endpoint crashed while a request was open there.
 
-        :param listens: whether its port goes on taking connections, so that it only may have ended
+        :param listens: whether its port still accepts connections, so that the crash is unconfirmed
         """
-        ruling = self.book.crashed(fingerprint, start, self.clock.time_of_day(), listens)
+        assessment = self.book.crashed(fingerprint, incarnation, self.clock.time_of_day(), listens)
         self.count("crash", "seen")
         log_state(
             "endpoint_ended",
             request=name,
             fingerprint=shown(fingerprint),
-            instance=start.instance,
-            crashes=ruling.crashes,
-            verdict=ruling.verdict.value,
+            instance=incarnation.instance,
+            crashes=assessment.crashes,
+            verdict=assessment.verdict.value,
             listens=listens,
         )
 
-    def record_response(self, fingerprint: Callable[[], bytes], start: Start) -> None:
-        """Note an answer: the endpoint lives, and the request ran there without ending it."""
-        self.breaking.note_answer(start)
+    def record_response(self, fingerprint: Callable[[], bytes], incarnation: Start) -> None:
+        """Record a response: the endpoint is alive, and the request ran without crashing it."""
+        self.pending_breaks.record_response(incarnation)
         if self.book.is_empty:
             return
         now = self.clock.time_of_day()
-        if self.book.lives(self.book.current(start), now):
-            log_state("endpoint_lives", instance=start.instance)
+        if self.book.lives(self.book.current(incarnation), now):
+            log_state("endpoint_alive", instance=incarnation.instance)
         key = fingerprint()
         if self.book.ran_well(key, now):
             self.count("crash", "acquitted")
-            log_state("acquitted", fingerprint=shown(key), instance=start.instance)
+            log_state("acquitted", fingerprint=shown(key), instance=incarnation.instance)
 
-    def taken(self) -> set[Start]:
-        """Return the endpoints that have a request which goes apart from other suspects."""
+    def isolated_endpoints(self) -> set[Start]:
+        """Return the endpoints that are reserved for one isolated request."""
         with self.lock:
-            return set(self.apart)
+            return set(self.isolated)
 
-    def take_place(self, start: Start) -> bool:
-        """Reserve an endpoint for a request that goes apart from other suspects."""
+    def isolate(self, incarnation: Start) -> bool:
+        """Reserve an endpoint for one isolated request; false if it is reserved already."""
         with self.lock:
-            if start in self.apart:
+            if incarnation in self.isolated:
                 return False
-            self.apart.add(start)
+            self.isolated.add(incarnation)
             return True
 
-    def leave_place(self, start: Start) -> None:
-        """Let others apart go to an endpoint again."""
+    def end_isolation(self, incarnation: Start) -> None:
+        """Release an endpoint that was reserved for an isolated request."""
         with self.lock:
-            self.apart.discard(start)
+            self.isolated.discard(incarnation)
 
-    def _break_of(self, endpoint: Endpoint, signs: Signs, look: Look) -> Break:
-        """Return what tells whether an endpoint may have ended that breaks new connections."""
-        sent_at = self.clock.time_of_day() - signs.lived_s - look.took_s
+    def _describe_break(
+        self, endpoint: Endpoint, broken: ConnectionBreak, probe: ProbeResult
+    ) -> Break:
+        """Describe the break at an endpoint that also breaks new connections."""
+        sent_at = self.clock.time_of_day() - broken.sent_ago_s - probe.took_s
         return Break(
-            signs.lived_s,
-            look.took_s,
-            signs.kept,
-            self.breaking.others_go_on(endpoint.start, signs),
+            broken.sent_ago_s,
+            probe.took_s,
+            broken.reused,
+            self.pending_breaks.others_still_active(endpoint.start, broken),
             self.book.ended_before(self.book.current(endpoint.start), sent_at),
         )
 
-    def _look_at(self, endpoint: Endpoint) -> Look:
+    def _probe(self, endpoint: Endpoint) -> ProbeResult:
         now = self.clock.now()
         with self.lock:
-            look, at = self.looked.get(endpoint.start, (None, float("-inf")))
-        if look is not None and now - at <= LOOKED_S:
-            return look
-        look = timed_probe(endpoint.address, self.look)
+            probe, at = self.recent_probes.get(endpoint.start, (None, float("-inf")))
+        if probe is not None and now - at <= PROBE_REUSE_S:
+            return probe
+        probe = timed_probe(endpoint.address, self.probe)
         with self.lock:
-            self.looked = {
-                start: row for start, row in self.looked.items() if now - row[1] <= LOOKED_S
+            self.recent_probes = {
+                incarnation: entry
+                for incarnation, entry in self.recent_probes.items()
+                if now - entry[1] <= PROBE_REUSE_S
             }
-            self.looked[endpoint.start] = (look, now)
-        return look
-
-    def _is_replaced(self, start: Start, address: str) -> bool:
-        """Return whether a start of another id is listed where this one was."""
-        listed = self.picture.belief.endpoints.values()
-        return any(one.address == address and one.instance != start.instance for one in listed)
+            self.recent_probes[endpoint.start] = (probe, now)
+        return probe
+
+    def _is_replaced(self, incarnation: Start, address: str) -> bool:
+        """Return whether an endpoint with another id is listed at the same address."""
+        listed = self.fleet_view.belief.endpoints.values()
+        return any(
+            one.address == address and one.instance != incarnation.instance for one in listed
+        )
 
-    def _left(self, endpoint: Endpoint) -> bool:
-        """Return whether it had said that it leaves."""
-        current = endpoint
+    def _was_leaving(self, endpoint: Endpoint) -> bool:
+        """Return whether the endpoint had announced that it was leaving."""
+        listed = endpoint
         with suppress(KeyError):
-            current = self.picture.belief.endpoints[endpoint.instance]
-        return current.leaving
+            listed = self.fleet_view.belief.endpoints[endpoint.instance]
+        return listed.leaving
 
 
 __all__ = ["CrashGuard"]
--- a/src/threadramp/edge/disconnect_watcher.py
+++ b/src/threadramp/edge/disconnect_watcher.py
@@ -1,6 +1,6 @@
-"""Notices callers that leave while their stream is being passed on.
+"""Detects callers that disconnect while their stream is relayed.
 
-The thread of a stream waits for its endpoint; one thread here looks at the callers of all streams.
+The thread of a stream waits for its endpoint, so one thread here checks the callers of all streams.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 from typing import TYPE_CHECKING
 
-from threadramp.edge.job import has_ended
+from threadramp.edge.job import is_disconnected
 from threadramp.report.guard import start_loop
 
 if TYPE_CHECKING:
@@ -18,15 +18,15 @@
 
     from threadramp.edge.exchange import Exchange
 
-LOOK_S = 0.1  # work for a caller that has left may go on for half a second on the users' sheets
+POLL_S = 0.1  # the users allow half a second of work for a disconnected caller
 
 
 class DisconnectWatcher:
-    """Ends the exchange of each caller that has left."""
+    """Ends the exchange of each caller that has disconnected."""
 
     def __init__(self) -> None:
         self.watched: dict[int, tuple[socket.socket, Exchange]] = {}
-        self.gone: set[int] = set()
+        self.disconnected: set[int] = set()
         self.lock = threading.Lock()
         self.any_watched = threading.Event()
         self.stopped = threading.Event()
@@ -40,7 +40,7 @@
         """Watch a caller while its exchange is read."""
         key = caller.fileno()
         with self.lock:
-            self.gone.discard(key)
+            self.disconnected.discard(key)
             self.watched[key] = (caller, exchange)
         self.any_watched.set()
         try:
@@ -49,19 +49,19 @@
             with self.lock:
                 self.watched.pop(key, None)
 
-    def has_left(self, caller: socket.socket) -> bool:
-        """Return whether a caller that is or was watched has left."""
+    def has_disconnected(self, caller: socket.socket) -> bool:
+        """Return whether a caller that is or was watched has disconnected."""
         with self.lock:
-            return caller.fileno() in self.gone or has_ended(caller)
+            return caller.fileno() in self.disconnected or is_disconnected(caller)
 
-    def look(self) -> None:
-        """Look at all callers once."""
+    def check_callers(self) -> None:
+        """Check all watched callers once."""
         with self.lock:
             for key, (caller, exchange) in list(self.watched.items()):
-                if has_ended(caller):
-                    self.gone.add(key)
+                if is_disconnected(caller):
+                    self.disconnected.add(key)
                     del self.watched[key]
-                    _wake(exchange)
+                    _unblock_reader(exchange)
 
     def _run(self) -> None:
         while not self.stopped.is_set():
@@ -71,12 +71,12 @@
                 if not descriptors:
                     self.any_watched.clear()
                     continue
-            self.stopped.wait(LOOK_S)
-            self.look()
+            self.stopped.wait(POLL_S)
+            self.check_callers()
 
 
-def _wake(exchange: Exchange) -> None:
-    """End the wait of the thread that reads an exchange."""
+def _unblock_reader(exchange: Exchange) -> None:
+    """Interrupt the thread that reads an exchange."""
     try:
         exchange.connection.sock.shutdown(socket.SHUT_RDWR)
     except (OSError, AttributeError):  # it is closed already
--- a/src/threadramp/edge/endpoint_connection.py
+++ b/src/threadramp/edge/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint that knows what it carried and what came that nobody asked for."""
+"""An HTTP connection that remembers its requests and detects surplus bytes behind a response."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
     from urllib3 import BaseHTTPResponse
 
-IDS_MOST = 256  # that a connection remembers; second answers came within seconds
-SHOWN_BYTES = 400  # of a surplus, enough to find the id that it names
+MAX_REMEMBERED_IDS = 256  # per connection; duplicate responses came within seconds
+SURPLUS_SAMPLE_BYTES = 400  # enough to find the request id in surplus bytes
 STATUS_LINE = b"HTTP/1."
 
 
 class EndpointConnection(HTTPConnection):
-    """One connection, over all requests that it carries.
+    """One connection, for all requests that it carries.
 
-    :param timeout_s: to connect
+    :param timeout_s: seconds to connect
     """
 
     def __init__(self, host: str, port: int, timeout_s: float) -> None:
         super().__init__(host, port, timeout=timeout_s)
         self.opened_at = steady_s()
         self.uses = 0
-        self.carried: OrderedDict[str, None] = OrderedDict()
-        self.reader: _Reader | None = None
+        self.request_ids: OrderedDict[str, None] = OrderedDict()
+        self.reader: _ResponseReader | None = None
         self.method = ""
 
     @property
@@ -49,38 +49,38 @@
         """Return the bytes that were read beyond the end of the last response."""
         return b"" if self.reader is None else self.reader.read_ahead
 
-    def carries(self, ident: str, method: str) -> None:
-        """Note that a request is sent on it."""
+    def record_request(self, request_id: str, method: str) -> None:
+        """Record that a request is sent on this connection."""
         self.uses += 1
         self.method = method
-        if not ident:
+        if not request_id:
             return
-        self.carried[ident] = None
-        while len(self.carried) > IDS_MOST:
-            self.carried.popitem(last=False)
+        self.request_ids[request_id] = None
+        while len(self.request_ids) > MAX_REMEMBERED_IDS:
+            self.request_ids.popitem(last=False)
 
     def response_class(
         self, sock: socket.socket, debuglevel: int = 0, method: str | None = None
     ) -> HTTPResponse:
-        """Return what the library reads the next answer with."""
+        """Return the object with which http.client reads the next response."""
         return self._response(sock, debuglevel, method, b"")
 
     def next_response(self) -> BaseHTTPResponse:
-        """Read one more response to the last request, behind one that was read to its end.
+        """Read the head of one more response, after one that was read completely.
 
-        The library reads one response for each request and drops what it read ahead.
+        http.client reads one response for each request and discards what it read ahead.
         """
-        found = self._response(self.sock, 0, self.method, self.read_ahead)
-        found.begin()
+        response = self._response(self.sock, 0, self.method, self.read_ahead)
+        response.begin()
         return BodyResponse(
-            body=found,
-            headers=HTTPHeaderDict(found.msg.items()),
-            status=found.status,
-            version=found.version,
-            reason=found.reason,
+            body=response,
+            headers=HTTPHeaderDict(response.msg.items()),
+            status=response.status,
+            version=response.version,
+            reason=response.reason,
             preload_content=False,
             decode_content=False,
-            original_response=found,
+            original_response=response,
             request_method=self.method,
         )
 
@@ -89,48 +89,50 @@
     ) -> HTTPResponse:
         response = HTTPResponse(sock, debuglevel, method)
         raw = response.fp.detach()
-        self.reader = _Reader(_Prepended(read_ahead, raw) if read_ahead else raw, sock)
+        self.reader = _ResponseReader(
+            _PrependedReader(read_ahead, raw) if read_ahead else raw, sock
+        )
         response.fp = self.reader
         return response
 
-    def surplus(self) -> bytes:
-        """Return the first bytes behind an answer that was read to its end, empty for none."""
+    def read_surplus(self) -> bytes:
+        """Return the first bytes behind a response that was read completely, empty for none."""
         if self.reader is None:
             return b""
         self.reader.close()
-        return self.reader.left_over
+        return self.reader.surplus_sample
 
-    def holds_another(self, body: bytes) -> bool:
-        """Return whether bytes of another answer got into a body whose length was given.
+    def contains_other_response(self, body: bytes) -> bool:
+        """Return whether bytes of another response got into a body of known length.
 
-        The length is then used up too early, by a second answer to an earlier request, or to this
-        one where the first was cut short: a head stands in the body, or what is left over begins
-        no answer, though that may still be on its way.
+        A duplicate response to an earlier request, or to this one if the first copy was truncated,
+        fills up the length too early. Then the body contains a response head, or the bytes behind
+        it do not begin a response; these bytes may not have arrived yet.
         """
-        left_over = self.surplus()
+        surplus_sample = self.read_surplus()
         if STATUS_LINE in body and holds_head(body):
             return True
         is_reused = self.uses > 1
-        if (left_over or is_reused) and ends_in_head(body):
+        if (surplus_sample or is_reused) and ends_in_head(body):
             return True
-        return is_reused and not STATUS_LINE.startswith(left_over[: len(STATUS_LINE)])
+        return is_reused and not STATUS_LINE.startswith(surplus_sample[: len(STATUS_LINE)])
 
 
-class _Prepended(io.RawIOBase):
-    """Reads the bytes that were read ahead, then those of the socket."""
+class _PrependedReader(io.RawIOBase):
+    """Reads bytes that were read ahead, then those of the socket."""
 
     def __init__(self, read_ahead: bytes, raw: io.RawIOBase) -> None:
-        self.ahead = read_ahead
+        self.prefix = read_ahead
         self.raw = raw
 
     def readable(self) -> bool:
         return True
 
     def readinto(self, buffer: memoryview) -> int | None:
-        if not self.ahead:
+        if not self.prefix:
             return self.raw.readinto(buffer)
-        size = min(len(buffer), len(self.ahead))
-        buffer[:size], self.ahead = self.ahead[:size], self.ahead[size:]
+        size = min(len(buffer), len(self.prefix))
+        buffer[:size], self.prefix = self.prefix[:size], self.prefix[size:]
         return size
 
     def close(self) -> None:
@@ -138,10 +140,10 @@
         super().close()
 
 
-class _Reader(io.BufferedReader):
-    """Reads one answer; at its end it looks for more, without waiting.
+class _ResponseReader(io.BufferedReader):
+    """Reads one response; at its end it checks for more bytes without waiting.
 
-    The library reads ahead, and drops with the reader what it read too much.
+    http.client reads ahead and discards the surplus together with the reader.
     """
 
     def __init__(self, raw: io.RawIOBase, sock: socket.socket) -> None:
@@ -150,19 +152,19 @@
         self.read_ahead = b""
 
     @property
-    def left_over(self) -> bytes:
-        """Return the first bytes that came behind the response."""
-        return self.read_ahead[:SHOWN_BYTES]
+    def surplus_sample(self) -> bytes:
+        """Return the first bytes behind the response."""
+        return self.read_ahead[:SURPLUS_SAMPLE_BYTES]
 
     def close(self) -> None:
-        """Close the reader, not the connection."""
+        """Close the reader, but not the connection."""
         if not self.closed:
-            self.read_ahead = self._waiting()
+            self.read_ahead = self._peek_waiting()
         super().close()
 
-    def _waiting(self) -> bytes:
-        """Return what was read ahead, else what waits in the socket."""
-        patience = self.sock.gettimeout()
+    def _peek_waiting(self) -> bytes:
+        """Return the bytes that were read ahead, else those that wait in the socket."""
+        timeout = self.sock.gettimeout()
         try:
             self.sock.setblocking(False)
             return self.peek(1)
@@ -170,7 +172,7 @@
             return b""
         finally:
             with suppress(OSError):
-                self.sock.settimeout(patience)
+                self.sock.settimeout(timeout)
 
 
-__all__ = ["SHOWN_BYTES", "EndpointConnection"]
+__all__ = ["SURPLUS_SAMPLE_BYTES", "EndpointConnection"]
--- a/src/threadramp/edge/exchange.py
+++ b/src/threadramp/edge/exchange.py
@@ -1,4 +1,4 @@
-"""One request to an endpoint and its answer, on one connection."""
+"""One HTTP request to an endpoint and its response, on one connection."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
     from threadramp.fleet.model import Endpoint
     from threadramp.platform.headers import AnswerHead
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # what was not delivered yet is dropped
-FINAL_STATUS = 200  # the least one; others tell that an answer is to come
-DUPLICATES_MOST = 4  # responses that may be skipped before the one to a request
-DUPLICATE_S = 0.1  # for the rest of such a response, whose head is there
-PIECE_BYTES = 65_536  # of a body that is taken as it comes
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: discards undelivered data
+MIN_FINAL_STATUS = 200  # lower ones are interim responses
+MAX_DUPLICATES = 4  # responses that may be skipped before the own one
+DUPLICATE_READ_TIMEOUT_S = 0.1  # for the body of such a response, after its head
+CHUNK_BYTES = 65_536  # read at once from a streamed body
 NO_USER_AGENT = {"User-Agent": SKIP_HEADER}
-# For bytes that are no answer the library raises what is none of its own connections' errors.
-UNREADABLE = (OSError, HTTPError, HTTPException, ValueError, AttributeError)
+# For bytes that are not HTTP, urllib3 raises errors that are not connection errors.
+READ_ERRORS = (OSError, HTTPError, HTTPException, ValueError, AttributeError)
 
 
 class ExchangeError(Exception):
-    """An exchange that brought no whole answer.
+    """An exchange without a complete response.
 
     :param sent: whether the request may have reached the endpoint
-    :param stale: whether a kept connection was found closed; that says nothing of the endpoint
-    :param timed_out: whether no head of an answer came in time
-    :param unresponsive: whether that was on a kept connection; it may pass nothing any more
-    :param broken: whether the other end closed or reset the connection while an answer was owed
-    :param nobody: whether its box says that nobody listens there
+    :param stale: whether an idle connection was found closed, which says nothing of the endpoint
+    :param timed_out: whether no response head arrived in time
+    :param unresponsive: whether that was on a reused connection, which may deliver nothing any more
+    :param broken: whether the endpoint closed or reset the connection before a complete response
+    :param refused: whether the endpoint's box refused the connection
     """
 
     def __init__(
@@ -53,21 +53,21 @@
         stale: bool = False,
         unresponsive: bool = False,
         broken: bool = False,
-        nobody: bool = False,
+        refused: bool = False,
         timed_out: bool = False,
     ) -> None:
         self.sent = sent
         self.stale = stale
         self.unresponsive = unresponsive
         self.broken = broken
-        self.nobody = nobody
+        self.refused = refused
         self.timed_out = timed_out
         super().__init__(reason)
 
 
 @dataclass(frozen=True)
 class EndpointResponse:
-    """A whole answer of an endpoint."""
+    """A complete response of an endpoint."""
 
     head: AnswerHead
     reason: str
@@ -76,22 +76,22 @@
 
 
 class Exchange:
-    """One request on one connection; its answer is read when its socket is readable."""
+    """One request on one connection; its response is read once the socket is readable."""
 
     def __init__(self, endpoint: Endpoint, connection: EndpointConnection, reused: bool) -> None:
         self.endpoint = endpoint
         self.connection = connection
         self.reused = reused
-        self.ident = ""
+        self.request_id = ""
         self.duplicates = 0
 
     @property
-    def is_readable(self) -> bool:
-        """Return whether bytes of a response were read already, which no poll tells."""
+    def has_buffered_response(self) -> bool:
+        """Return whether bytes of a response are buffered, which polling the socket misses."""
         return bool(self.duplicates and self.connection.read_ahead)
 
     def fileno(self) -> int:
-        """Return the socket's descriptor."""
+        """Return the file descriptor of the socket."""
         return self.connection.sock.fileno()
 
     def send(
@@ -99,13 +99,13 @@
     ) -> None:
         """Send the request.
 
-        :param body: pieces of it only where a header names their length
-        :raises ExchangeError: if it could not be sent whole
+        :param body: an iterable only if a header states its length
+        :raises ExchangeError: if it could not be sent completely
         """
         names = {name.lower() for name in headers}
         extra = {} if "user-agent" in names else NO_USER_AGENT
-        self.ident = sent_id(headers)
-        self.connection.carries(self.ident, method)
+        self.request_id = sent_id(headers)
+        self.connection.record_request(self.request_id, method)
         try:
             self.connection.request(
                 method,
@@ -120,110 +120,110 @@
             stale, broken = self._is_stale(error), is_connection_error(error)
             raise ExchangeError(True, repr(error), stale, broken=broken) from error
 
-    def response(self, timeout_s: float) -> BaseHTTPResponse:
-        """Return the answer with its head read and its body to come.
+    def read_head(self, timeout_s: float) -> BaseHTTPResponse:
+        """Return the response with its head read and its body unread.
 
-        :raises ExchangeError: if no head came
+        :raises ExchangeError: if no valid head arrived
         """
         try:
-            response = self._next_response(max(0.01, timeout_s))
-        except UNREADABLE as error:
+            response = self._read_next_head(max(0.01, timeout_s))
+        except READ_ERRORS as error:
             self.close()
-            late = isinstance(error, TimeoutError)
+            timed_out = isinstance(error, TimeoutError)
             stale, broken = self._is_stale(error), is_connection_error(error)
             raise ExchangeError(
-                True, repr(error), stale, self.reused and late, broken, timed_out=late
+                True, repr(error), stale, self.reused and timed_out, broken, timed_out=timed_out
             ) from error
-        if response.status < FINAL_STATUS:  # the library waits behind one kind of these alone
+        if response.status < MIN_FINAL_STATUS:  # http.client skips only status 100
             self.close()
             raise ExchangeError(True, f"status {response.status} is not final")
         return response
 
     def read_own_head(self, timeout_s: float) -> BaseHTTPResponse:
-        """Return the first response that repeats none to an earlier request.
+        """Return the first response that does not repeat one to an earlier request.
 
-        :raises ExchangeError: if none came
+        :raises ExchangeError: if none arrived
         """
-        until = steady_s() + timeout_s
-        response = self.response(timeout_s)
-        while self.skip(response):
-            response = self.response(until - steady_s())
+        deadline = steady_s() + timeout_s
+        response = self.read_head(timeout_s)
+        while self.skip_duplicate(response):
+            response = self.read_head(deadline - steady_s())
         return response
 
-    def skip(self, response: BaseHTTPResponse) -> bool:
+    def skip_duplicate(self, response: BaseHTTPResponse) -> bool:
         """Skip a response that repeats the one to an earlier request on this connection.
 
-        An endpoint may send a response once more in the place of the next one, which follows it.
-        Given up there, a request that may run once was lost with each such repetition.
+        An endpoint may send a response twice, and the response to the next request follows the
+        copy. Giving up at the copy lost each request that may run only once.
 
-        :returns: whether it was skipped; the response to this request is still to come then
-        :raises ExchangeError: if it is not whole, so that nothing tells where the next one begins
+        :returns: whether it was skipped, so that the response to this request is still to come
+        :raises ExchangeError: if it is incomplete, so that the start of the next one is unknown
         """
-        named = response.headers.get(REQUEST_ID, "")
-        is_earlier = named != self.ident and named in self.connection.carried
+        named_id = response.headers.get(REQUEST_ID, "")
+        is_duplicate = named_id != self.request_id and named_id in self.connection.request_ids
         sock = self.connection.sock
-        if not is_earlier or sock is None or self.duplicates >= DUPLICATES_MOST:
+        if not is_duplicate or sock is None or self.duplicates >= MAX_DUPLICATES:
             return False
-        sock.settimeout(DUPLICATE_S)
+        sock.settimeout(DUPLICATE_READ_TIMEOUT_S)
         try:
-            self.rest(response)
+            self.read_body(response)
         except ExchangeError:
-            self.log("answer_not_own", named=named, status=response.status, skipped=False)
+            self.log("answer_not_own", named=named_id, status=response.status, skipped=False)
             raise
         self.duplicates += 1
-        self.log("answer_not_own", named=named, status=response.status, skipped=True)
+        self.log("answer_not_own", named=named_id, status=response.status, skipped=True)
         return True
 
-    def _next_response(self, timeout_s: float) -> BaseHTTPResponse:
+    def _read_next_head(self, timeout_s: float) -> BaseHTTPResponse:
         if self.duplicates:
             self.connection.sock.settimeout(timeout_s)
             return self.connection.next_response()
-        self.connection.timeout = timeout_s  # the library sets it at the socket
+        self.connection.timeout = timeout_s  # urllib3 applies it to the socket
         return self.connection.getresponse()
 
     def _is_stale(self, error: Exception) -> bool:
-        """Return whether a kept connection broke before a byte of an answer came."""
+        """Return whether a reused connection broke before any byte of a response."""
         return self.reused and isinstance(error, (ConnectionError, ProtocolError))
 
     def read(self, timeout_s: float) -> EndpointResponse:
-        """Read the whole answer.
+        """Read the complete response.
 
-        :raises ExchangeError: if it is not whole
+        :raises ExchangeError: if it is not complete
         """
-        return self.rest(self.response(timeout_s))
+        return self.read_body(self.read_head(timeout_s))
 
-    def rest(self, response: BaseHTTPResponse) -> EndpointResponse:
-        """Read the body of an answer whose head was read.
+    def read_body(self, response: BaseHTTPResponse) -> EndpointResponse:
+        """Read the body of a response whose head was read.
 
-        :raises ExchangeError: if it is not whole
+        :raises ExchangeError: if it is not complete
         """
         try:
             body = response.read(decode_content=False)
-        except UNREADABLE as error:
+        except READ_ERRORS as error:
             self.close()
             raise ExchangeError(True, repr(error), broken=is_connection_error(error)) from error
-        if self.connection.holds_another(body):
+        if self.connection.contains_other_response(body):
             self.close()
             self.log("answer_mixed", status=response.status)
-            raise ExchangeError(True, "another answer within its body")
-        return _answer(response, body)
+            raise ExchangeError(True, "the body contains bytes of another response")
+        return _endpoint_response(response, body)
 
     def is_own(self, head: AnswerHead) -> bool:
-        """Return whether an answer is to this request.
+        """Return whether a response belongs to this request.
 
-        The id that it names is the proof, since no connection carries one twice. Without one only
-        the first answer on a connection cannot be a second one to what was asked before.
+        The request id that it names decides, as no connection carries the same id twice. Without
+        an id, only the first response on a connection cannot be a duplicate of an earlier one.
         """
-        own = head.request_id == self.ident if head.request_id else not self.reused
+        own = head.request_id == self.request_id if head.request_id else not self.reused
         if not own:
             self.log("answer_not_own", named=head.request_id, status=head.status)
         return own
 
     def log(self, kind: str, **more: object) -> None:
-        """Log what came on the connection, and what it is like."""
+        """Log what arrived on the connection, with the age and use count of the connection."""
         log_state(
             kind,
-            request=self.ident,
+            request=self.request_id,
             instance=self.endpoint.instance,
             age_s=round(self.connection.age_s, 3),
             uses=self.connection.uses,
@@ -231,10 +231,11 @@
         )
 
     def close(self) -> None:
-        """Reset the connection; most endpoints then drop the request.
+        """Reset the connection; most endpoints then cancel the request.
 
-        Closed plainly, a request that a cut link holds up would still arrive once it heals, up to
-        ten seconds later, and run though its lot had ended or its caller had left.
+        After a regular close, a request that is held up by a network outage would still arrive
+        when the link recovers, up to ten seconds later, and run although its lot had ended or its
+        caller had disconnected.
         """
         sock = self.connection.sock
         if sock is not None:
@@ -244,25 +245,25 @@
 
 
 def is_connection_error(error: BaseException) -> bool:
-    """Return whether an error says that the other end closed or reset a connection."""
+    """Return whether an error means that the peer closed or reset the connection."""
     return isinstance(error, (ConnectionError, ProtocolError))
 
 
 def iter_body(response: BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield the bytes of a body as they come."""
+    """Yield the bytes of a body as they arrive."""
     if response.chunked:
-        yield from response.read_chunked(PIECE_BYTES, decode_content=False)
+        yield from response.read_chunked(CHUNK_BYTES, decode_content=False)
         return
-    while data := response.read1(PIECE_BYTES, decode_content=False):
+    while data := response.read1(CHUNK_BYTES, decode_content=False):
         yield data
 
 
 def streamed_response(response: BaseHTTPResponse) -> EndpointResponse:
-    """Return an answer whose body was taken piece by piece."""
-    return _answer(response, b"")
+    """Return a response whose body was already consumed as a stream."""
+    return _endpoint_response(response, b"")
 
 
-def _answer(response: BaseHTTPResponse, body: bytes) -> EndpointResponse:
+def _endpoint_response(response: BaseHTTPResponse, body: bytes) -> EndpointResponse:
     headers = tuple(response.headers.iteritems())
     head = read_answer(response.status, response.headers)
     return EndpointResponse(head, response.reason or "", headers, body)
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -1,13 +1,13 @@
-"""Carries one request to endpoints until there is an answer, the caller has gone, or time is up."""
+"""Forwards a request until there is a response, the caller disconnects or the deadline passes."""
 
 from __future__ import annotations
 
 import select
 from typing import TYPE_CHECKING
 
-from threadramp.edge.attempt_loop import ANSWER_MARGIN_S, Attempts, EndpointAccess
+from threadramp.edge.attempt_loop import RESPONSE_MARGIN_S, AttemptLoop, EndpointAccess
 from threadramp.edge.exchange import ExchangeError
-from threadramp.edge.job import Ending, Outcome, has_ended
+from threadramp.edge.job import Ending, Outcome, is_disconnected
 from threadramp.platform.headers import read_answer
 from threadramp.policy.crash_book import Verdict
 from threadramp.policy.endpoint_choice import SECOND_AFTER
@@ -20,156 +20,161 @@
     from threadramp.edge.job import Job
     from threadramp.fleet.model import Endpoint
 
-LOOK_S = 0.1  # how often a wait is broken to see whether the caller is still there
-READ_TIMEOUT_S = 2.0  # most for the rest of an answer that has begun
+CALLER_POLL_S = 0.1  # how often to check whether the caller is still connected
+READ_TIMEOUT_S = 2.0  # upper bound for reading a response that has begun to arrive
 
 
 class Forwarder(EndpointAccess):
-    """Forwards requests that have one whole answer."""
+    """Forwards requests whose response is passed on only when it is complete."""
 
     def run(self, job: Job) -> Outcome:
         """Forward a request and return how it ended."""
-        return _Run(self, job).run()
+        return _CompleteResponseLoop(self, job).run()
 
 
-class _Run(Attempts):
-    """One job on its way."""
+class _CompleteResponseLoop(AttemptLoop):
+    """Forwards one job, with a hedged attempt if the first one is slow."""
 
-    def __init__(self, parts: EndpointAccess, job: Job) -> None:
-        super().__init__(parts, job)
-        self.second_at = 0.0
+    def __init__(self, access: EndpointAccess, job: Job) -> None:
+        super().__init__(access, job)
+        self.hedge_at = 0.0
 
-    def send(self, endpoint: Endpoint, on_new: bool = False) -> None:
-        """Send to an endpoint; a second one is asked if it is late."""
-        super().send(endpoint, on_new)
-        self.second_at = self.now() + self.job.route.target_s * SECOND_AFTER
+    def send(self, endpoint: Endpoint, force_new: bool = False) -> None:
+        """Send to an endpoint, and set the time for a hedged attempt."""
+        super().send(endpoint, force_new)
+        self.hedge_at = self.now() + self.job.route.target_s * SECOND_AFTER
 
-    def await_answer(self) -> Outcome | None:
-        """Wait for an answer, the caller's end, or the time for a second try."""
-        readable = next((one for one in self.tries.open if one.is_readable), None)
+    def await_response(self) -> Outcome | None:
+        """Wait for a response, a disconnect of the caller or the time of a hedged attempt."""
+        readable = next(
+            (one for one in self.history.open_exchanges if one.has_buffered_response), None
+        )
         if readable is not None:
-            return self._read(readable)
+            return self._read_response(readable)
         poll = select.poll()
-        by_descriptor = {exchange.fileno(): exchange for exchange in self.tries.open}
+        by_descriptor = {exchange.fileno(): exchange for exchange in self.history.open_exchanges}
         for descriptor in by_descriptor:
             poll.register(descriptor, select.POLLIN)
         caller = self.job.caller_socket
         if caller is not None:
             poll.register(caller.fileno(), select.POLLIN)
-        ready = poll.poll(max(1, int(self._wait_s() * 1000)))
+        ready = poll.poll(max(1, int(self._poll_timeout_s() * 1000)))
         for descriptor, _ in ready:
             exchange = by_descriptor.get(descriptor)
             if exchange is not None:
-                return self._read(exchange)
-        if caller is not None and ready and has_ended(caller):
-            log_state("caller_gone", request=self.job.request_id)
-            return Outcome(Ending.CALLER_GONE)
-        self._second_try()
+                return self._read_response(exchange)
+        if caller is not None and ready and is_disconnected(caller):
+            log_state("caller_disconnected", request=self.job.request_id)
+            return Outcome(Ending.CALLER_DISCONNECTED)
+        self._send_hedge()
         return None
 
-    def _wait_s(self) -> float:
+    def _poll_timeout_s(self) -> float:
         now = self.now()
-        wait = min(LOOK_S, self.job.deadline - ANSWER_MARGIN_S - now)
-        if len(self.tries.open) == 1:
-            wait = min(wait, self.second_at - now)
+        wait = min(CALLER_POLL_S, self.job.deadline - RESPONSE_MARGIN_S - now)
+        if len(self.history.open_exchanges) == 1:
+            wait = min(wait, self.hedge_at - now)
         return max(0.001, wait)
 
-    def _second_try(self) -> None:
-        """Send a late repeatable request to a second endpoint as well.
+    def _send_hedge(self) -> None:
+        """Send a slow repeatable request to a second endpoint as well.
 
-        Where it is late on a kept connection, that may pass nothing any more without a sign of it,
-        and so may all that were kept: the second try takes a new one, if need be to the same
-        endpoint.
+        If the first attempt was on a reused connection, that connection may have become
+        unresponsive without an error, and so may all idle ones. The hedged attempt then opens a
+        new connection, to the same endpoint if there is no other.
         """
-        tries = self.tries
-        late = len(tries.open) == 1 and self.now() >= self.second_at
-        if not late or not self.job.route.may_repeat:
+        history = self.history
+        is_late = len(history.open_exchanges) == 1 and self.now() >= self.hedge_at
+        if not is_late or not self.job.route.may_repeat:
             return
-        if self.ruling().verdict is not Verdict.FREE:
-            return  # it may end another endpoint beside the first
-        self.second_at = self.job.deadline  # asked once
-        chosen = self._for_second_try(tries.open[0])
-        if chosen is not None and self.parts.budget.retry():
-            on_new = tries.open[0].reused
+        if self.assess().verdict is not Verdict.FREE:
+            return  # it might crash a second endpoint as well
+        self.hedge_at = self.job.deadline  # at most one hedged attempt
+        chosen = self._choose_hedge_endpoint(history.open_exchanges[0])
+        if chosen is not None and self.access.retry_budget.retry():
+            force_new = history.open_exchanges[0].reused
             log_state(
-                "second_try",
+                "hedged_attempt",
                 request=self.job.request_id,
                 instance=chosen.instance,
-                on_new=on_new,
+                new_connection=force_new,
             )
-            self.send(chosen, on_new)
+            self.send(chosen, force_new)
 
-    def _for_second_try(self, late: Exchange) -> Endpoint | None:
-        """Return where a late request goes as well, none if there is nowhere."""
-        tries = self.tries
-        used = tries.ran | {late.endpoint.start}
-        pool = self.parts.picture.belief.in_pool(self.pool)
+    def _choose_hedge_endpoint(self, slow: Exchange) -> Endpoint | None:
+        """Return the endpoint for a hedged attempt, none if there is none."""
+        history = self.history
+        used = history.possibly_ran | {slow.endpoint.start}
+        pool = self.access.fleet_view.belief.in_pool(self.pool)
         chosen = None
         if len(used) < self.job.route.max_attempts:
-            chosen = self.parts.choice.choose(pool, used | tries.rejected, self.now())
-        if chosen is None and late.reused:
-            same = [one for one in pool if one.start == late.endpoint.start]
-            chosen = self.parts.choice.choose(same, (), self.now())
+            chosen = self.access.choice.choose(pool, used | history.rejected, self.now())
+        if chosen is None and slow.reused:
+            same = [one for one in pool if one.start == slow.endpoint.start]
+            chosen = self.access.choice.choose(same, (), self.now())
         return chosen
 
-    def _forget_as_old(self) -> None:
-        """Drop what is kept where a kept connection brought nothing and a new one an answer."""
-        for late in self.tries.open:
-            if late.reused:
-                self.parts.connections.close_idle(late.endpoint.start)
+    def _close_idle_of_slow(self) -> None:
+        """Close the idle connections of endpoints that were slow on a reused connection.
 
-    def _read(self, exchange: Exchange) -> Outcome | None:
+        Called after a new connection brought the response.
+        """
+        for slow in self.history.open_exchanges:
+            if slow.reused:
+                self.access.connection_pool.close_idle(slow.endpoint.start)
+
+    def _read_response(self, exchange: Exchange) -> Outcome | None:
         left = max(0.05, min(READ_TIMEOUT_S, self.job.deadline - self.now()))
         try:
-            response = exchange.response(left)
-            if exchange.skip(response):
+            response = exchange.read_head(left)
+            if exchange.skip_duplicate(response):
                 return None
         except ExchangeError as error:
-            self.closed(exchange)
-            self.endpoint_failed(exchange.endpoint, error, ran=True)
+            self.record_closed(exchange)
+            self.record_exchange_error(exchange.endpoint, error, ran=True)
             return None
-        self.closed(exchange)
-        return self._take(exchange, response)
+        self.record_closed(exchange)
+        return self._read_own_body(exchange, response)
 
-    def _take(self, exchange: Exchange, response: BaseHTTPResponse) -> Outcome | None:
-        """Take a response whose head was read, if it is to this job."""
+    def _read_own_body(self, exchange: Exchange, response: BaseHTTPResponse) -> Outcome | None:
+        """Read the body of a response whose head was read, if it belongs to this job."""
         endpoint = exchange.endpoint
         try:
             head = read_answer(response.status, response.headers)
-            if not self.is_own(exchange, head):  # a second answer may lack the rest of its body
+            if not self.is_own(exchange, head):  # a duplicate may lack the rest of its body
                 return None
-            answer = exchange.rest(response)
+            complete_response = exchange.read_body(response)
         except ExchangeError as error:
-            self.endpoint_failed(endpoint, error, ran=True)
+            self.record_exchange_error(endpoint, error, ran=True)
             return None
         if not exchange.reused:
-            self._forget_as_old()
-        self.parts.keep(exchange, answer)
-        return self._judge(endpoint, answer)
+            self._close_idle_of_slow()
+        self.access.release_connection(exchange, complete_response)
+        return self._evaluate(endpoint, complete_response)
 
-    def _judge(self, endpoint: Endpoint, answer: EndpointResponse) -> Outcome | None:
-        head = answer.head
+    def _evaluate(self, endpoint: Endpoint, response: EndpointResponse) -> Outcome | None:
+        head = response.head
         if head.not_run:
-            self.rejected(endpoint, head.status)
+            self.record_rejection(endpoint, head.status)
             return None
-        if head.signature:  # else it may be a front's, for an endpoint that has ended
-            self.holding.answered(endpoint.start)
+        if head.signature:  # else a reverse proxy may have sent it for a crashed endpoint
+            self.admission.record_response(endpoint.start)
         unsigned = 200 <= head.status < 300 and not head.signature
         if unsigned or head.status >= 500:
-            return self._failed_answer(endpoint, answer, unsigned)
-        self.parts.choice.answered(endpoint, head.load, self.now())
-        return Outcome(Ending.ANSWERED, answer)
+            return self._handle_failed_response(endpoint, response, unsigned)
+        self.access.choice.answered(endpoint, head.load, self.now())
+        return Outcome(Ending.ANSWERED, response)
 
-    def _failed_answer(
-        self, endpoint: Endpoint, answer: EndpointResponse, unsigned: bool
+    def _handle_failed_response(
+        self, endpoint: Endpoint, response: EndpointResponse, unsigned: bool
     ) -> Outcome | None:
         if unsigned:
-            self.endpoint_failed(endpoint, ExchangeError(True, "no signature"), ran=True)
+            self.record_exchange_error(endpoint, ExchangeError(True, "no signature"), ran=True)
             return None
-        self.tries.last_failure = answer
-        error = ExchangeError(True, f"status {answer.head.status}")
-        self.note_failure(endpoint, error, True, self.parts.choice.erred(endpoint, self.now()))
-        return None if self.job.retry_errors else Outcome(Ending.ANSWERED, answer)
+        self.history.last_error_response = response
+        error = ExchangeError(True, f"status {response.head.status}")
+        self.record_failure(endpoint, error, True, self.access.choice.erred(endpoint, self.now()))
+        return None if self.job.retry_errors else Outcome(Ending.ANSWERED, response)
 
 
 __all__ = ["Forwarder"]
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -1,4 +1,4 @@
-"""A gateway's answers: a pipe of filters from the request to its route, each with one job."""
+"""Handles the HTTP requests of a gateway: routing, authentication, forwarding and lot calls."""
 
 from __future__ import annotations
 
@@ -45,37 +45,37 @@
     from threadramp.platform.trainer_calls import LotCall
     from threadramp.report.metrics import Metrics
 
-DEFAULT_TIME_S = 10.0  # for a caller that does not say how long it waits
-START_RETRY_S = 0.5  # a process that starts knows the configuration within this time
+DEFAULT_TIME_S = 10.0  # for a caller that sends no deadline
+START_RETRY_S = 0.5  # a starting process receives the configuration within this time
 STORE_RETRY_S = 1.0  # outages of the store take seconds
-PATIENCE_SHARE = 0.4  # of the time that a trainer waits, for which its hand-in is tried
-PATIENCE_MOST_S = 5.0  # less than the time between a SIGTERM and a kill
-MAX_WAIT_S = 1.0  # longest time for which a reader of results is let wait
+RETRY_TIME_SHARE = 0.4  # of the time that a trainer waits, spent on submitting its lot
+MAX_RETRY_TIME_S = 5.0  # less than the time between a SIGTERM and a kill
+MAX_WAIT_S = 1.0  # upper bound of a long poll for results
 JSON = ("Content-Type", "application/json")
 CHALLENGE = ("WWW-Authenticate", "Bearer")
 
 
 class EdgeHandler:
-    """Answers callers and trainers.
+    """Handles requests of callers and trainers.
 
-    :param keys_within_s: seconds after which what is known of keys does not count any more
+    :param max_key_age_s: seconds after which the known API keys are too old to be trusted
     """
 
     def __init__(
         self,
-        picture: Picture,
+        fleet_view: Picture,
         forwarder: Forwarder,
-        streams: StreamForwarder,
+        stream_forwarder: StreamForwarder,
         owner: LotOwner,
         reader: LotReader,
         metrics: Metrics,
         clock: Clock,
-        keys_within_s: float = math.inf,
+        max_key_age_s: float = math.inf,
     ) -> None:
-        self.keys_within_s = keys_within_s
-        self.picture = picture
+        self.max_key_age_s = max_key_age_s
+        self.fleet_view = fleet_view
         self.forwarder = forwarder
-        self.streams = streams
+        self.stream_forwarder = stream_forwarder
         self.owner = owner
         self.reader = reader
         self.metrics = metrics
@@ -83,94 +83,94 @@
         self.stopping = False
 
     def handle(self, request: CallerRequest) -> None:
-        """Answer a request, whatever happens."""
+        """Handle a request; an unexpected error is logged and answered with status 500."""
         try:
             self._serve(request)
-        except Exception as error:  # the process goes on; what was done is not known
+        except Exception as error:  # the process continues; the effect of the request is unknown
             log_state("internal_error", request=request_id(request.headers), error=repr(error))
             self.metrics.count("answer", "internal_error")
             if request.raw.sent_headers:
-                request.cut()  # the server would end its pieces as if all had come
+                request.abort()  # else the server would end the chunked body as if complete
             else:
                 request.respond(500, close=True)
 
     def serve_ready(self, request: CallerRequest) -> None:
-        """Say whether this gateway wants new connections."""
+        """Respond whether this gateway is ready for new connections."""
         if request.path != READY_PATH:
             request.respond(404)
             return
-        ready = self.picture.is_complete and not self.stopping
+        ready = self.fleet_view.is_complete and not self.stopping
         request.respond(200 if ready else 503)
 
     def _serve(self, request: CallerRequest) -> None:
-        started = request.arrived
-        configuration = self.picture.belief.configuration
+        started = request.arrived_at
+        configuration = self.fleet_view.belief.configuration
         if configuration is None:
             self._refuse(request, 503, START_RETRY_S, "no configuration yet")
             return
         if request.path.startswith(OWN_ROOT):
-            self._serve_call(request, configuration)
+            self._serve_lot_call(request, configuration)
             return
         route = configuration.route_for(request.host, request.path)
         if route is None:
             log_state("no_route", host=request.host, path=request.path)
             request.respond(404)
             return
-        who = self._who(request, configuration, route.public)
-        body = self._body(request, configuration.limits) if who is not None else None
+        identity = self._authenticate(request, configuration, route.public)
+        body = self._read_body(request, configuration.limits) if identity is not None else None
         if body is None:
             return
         if route.kind is RouteKind.SAMPLES:
-            self._hand_in(request, who.ranked(route), body, who)
+            self._submit_lot(request, identity.ranked(route), body, identity)
         else:
-            self._forward(request, who.ranked(route), body, started, who)
+            self._forward(request, identity.ranked(route), body, started, identity)
 
-    def _who(
+    def _authenticate(
         self, request: CallerRequest, configuration: Configuration, public: bool
     ) -> Caller | None:
-        """Return who calls; none if it was turned away, before anything of its request ran.
+        """Return the caller; none if the request was rejected, in which case nothing of it ran.
 
         :param public: whether no key is needed
         """
-        found = who_calls(configuration.organisations, caller_key(request.headers), public)
-        if isinstance(found, Caller):
-            return found if self._may_trust(request, found) else None
+        result = who_calls(configuration.organisations, caller_key(request.headers), public)
+        if isinstance(result, Caller):
+            return result if self._check_key_age(request, result) else None
         log_state(
             "caller_unknown",
             request=request_id(request.headers),
             path=request.path,
-            reason=found.value,
+            reason=result.value,
             version=configuration.version,
         )
-        self.metrics.count("answer", found.value)
+        self.metrics.count("answer", result.value)
         request.respond(401, [CHALLENGE], close=self.stopping)
         return None
 
-    def _may_trust(self, request: CallerRequest, who: Caller) -> bool:
-        """Return whether what is known of keys is new enough; else the caller is told so.
+    def _check_key_age(self, request: CallerRequest, identity: Caller) -> bool:
+        """Return whether the known API keys are recent enough; else refuse the request.
 
-        Where a box that is cut off may go on, it does: refusing would turn away all callers for
-        the few whose keys were taken away meanwhile.
+        A box that is cut off from the store goes on for as long as it may: refusing would turn
+        away all callers because of the few whose keys were revoked meanwhile.
         """
-        age_s = self.picture.configuration_age_s(self.clock.now())
-        if not who.organisation or age_s <= self.keys_within_s:
+        age_s = self.fleet_view.configuration_age_s(self.clock.now())
+        if not identity.organisation or age_s <= self.max_key_age_s:
             return True
-        self._refuse(request, 503, START_RETRY_S, f"keys are known as of {age_s:.1f} s ago")
+        self._refuse(request, 503, START_RETRY_S, f"the known API keys are {age_s:.1f} s old")
         return False
 
-    def _body(self, request: CallerRequest, limits: CallerLimits) -> bytes | None:
+    def _read_body(self, request: CallerRequest, limits: CallerLimits) -> bytes | None:
         try:
-            return request.body(limits.body_bytes)
+            return request.read_body(limits.body_bytes)
         except BodyTooLongError as error:
             log_state("body_too_long", request=request_id(request.headers), error=str(error))
             request.respond(413, close=True)
         except OSError as error:
             log_state("body_not_read", request=request_id(request.headers), error=repr(error))
-            request.drop()
+            request.close_without_response()
         return None
 
     def _forward(
-        self, request: CallerRequest, route: Route, body: bytes, started: float, who: Caller
+        self, request: CallerRequest, route: Route, body: bytes, started: float, identity: Caller
     ) -> None:
         left = time_left_s(request.headers)
         limits = [DEFAULT_TIME_S if left is None else left]
@@ -185,92 +185,99 @@
             route=route,
             deadline=started + min(limits),
             caller_socket=request.socket,
-            identity=who,
+            identity=identity,
         )
         if route.kind is RouteKind.STREAM:
-            outcome = self.streams.run(job, request, self.stopping)
+            outcome = self.stream_forwarder.run(job, request, self.stopping)
         else:
             outcome = self.forwarder.run(job)
-        took = self.clock.now() - started
-        self.metrics.latency(route.name, took)
+        took_s = self.clock.now() - started
+        self.metrics.latency(route.name, took_s)
         if outcome.first_event_s is not None:
             self.metrics.latency(f"{route.name} first event", outcome.first_event_s)
         self.metrics.count("answer", outcome.ending.value)
-        self._pass_on(request, outcome, route, took, who)
+        self._send_outcome(request, outcome, route, took_s, identity)
 
-    def _pass_on(
-        self, request: CallerRequest, outcome: Outcome, route: Route, took: float, who: Caller
+    def _send_outcome(
+        self,
+        request: CallerRequest,
+        outcome: Outcome,
+        route: Route,
+        took_s: float,
+        identity: Caller,
     ) -> None:
-        answer = outcome.response
+        response = outcome.response
         status = 0
-        if outcome.ending is Ending.CALLER_GONE:
-            request.drop()
-        elif answer is not None:
-            status = answer.head.status
-            headers = to_caller(answer.headers)
-            request.respond(status, headers, answer.body, answer.reason, close=self.stopping)
+        if outcome.ending is Ending.CALLER_DISCONNECTED:
+            request.close_without_response()
+        elif response is not None:
+            status = response.head.status
+            headers = to_caller(response.headers)
+            request.respond(status, headers, response.body, response.reason, close=self.stopping)
         elif outcome.ending in (Ending.STREAMED, Ending.CUT):
             status = 200
         elif outcome.ending is Ending.NOT_RUN:
             status = 503
-            self._answer_later(request, 503, outcome.retry_after_s)
+            self._send_retry_after(request, 503, outcome.retry_after_s)
         else:
-            status = 504 if outcome.ending is Ending.TIME_OVER else 502
+            status = 504 if outcome.ending is Ending.TIMED_OUT else 502
             request.respond(status, close=self.stopping)
         log_state(
             "answered",
             request=request_id(request.headers),
             route=route.name,
-            organisation=who.organisation,
+            organisation=identity.organisation,
             status=status,
             ending=outcome.ending.value,
-            ms=round(took * 1000, 1),
+            ms=round(took_s * 1000, 1),
             target_ms=round(route.target_s * 1000),
         )
 
-    def _hand_in(self, request: CallerRequest, route: Route, body: bytes, who: Caller) -> None:
+    def _submit_lot(
+        self, request: CallerRequest, route: Route, body: bytes, identity: Caller
+    ) -> None:
         lot_id = request_id(request.headers)
         if request.method != "POST" or not lot_id:
             request.respond(400, body=b"a lot is handed in by POST, with an id")
             return
         try:
-            lot = read_lot(lot_id, request.host, request.path, body, who.organisation)
+            lot = read_lot(lot_id, request.host, request.path, body, identity.organisation)
         except FindingsError as error:
             log_state("lot_unreadable", lot=lot_id, findings=[str(f) for f in error.findings])
             request.respond(400, body=str(error).encode())
             return
         try:
-            self.owner.hand_in(lot, route, _patience_s(request))
+            self.owner.hand_in(lot, route, _retry_time_s(request))
         except StoreRefusedError as error:
-            self._refuse(request, 503, STORE_RETRY_S, f"lot not kept: {error}")
+            self._refuse(request, 503, STORE_RETRY_S, f"lot not stored: {error}")
         except StoreError as error:
-            log_state("lot_unknown", lot=lot_id, error=str(error))
+            log_state("lot_outcome_unknown", lot=lot_id, error=str(error))
             self.metrics.count("lot", "unknown")
             request.respond(504, close=self.stopping)
         else:
             self.metrics.count("lot", "taken")
             request.respond(202, close=self.stopping)
 
-    def _serve_call(self, request: CallerRequest, configuration: Configuration) -> None:
-        """Answer a call about a lot; one of another organisation is as unknown as any."""
+    def _serve_lot_call(self, request: CallerRequest, configuration: Configuration) -> None:
+        """Handle a call about a lot; a lot of another organisation is reported as not found."""
         public = configuration.takes_lots_of_anybody(request.host)
-        who = self._who(request, configuration, public)
-        if who is None:
+        identity = self._authenticate(request, configuration, public)
+        if identity is None:
             return
         given = read_call(request.method, request.target)
         if given is None:
             request.respond(404)
             return
-        call = given.of(who.organisation)
-        answers: dict[LotCallKind, Callable[[CallerRequest, LotCall], None]] = {
+        call = given.of(identity.organisation)
+        handlers: dict[LotCallKind, Callable[[CallerRequest, LotCall], None]] = {
             LotCallKind.RESULTS: self._results,
             LotCallKind.BODY: self._sample_body,
-            LotCallKind.END: self._end,
+            LotCallKind.END: self._end_lot,
         }
         try:
-            answers[call.kind](request, call)
+            handlers[call.kind](request, call)
         except LotUnknownError:
-            log_state("lot_missing", lot=call.lot, call=call.kind.value)
+            log_state("lot_not_found", lot=call.lot, call=call.kind.value)
             request.respond(404)
         except StoreError as error:
             self._refuse(request, 503, STORE_RETRY_S, f"{call.kind.value} {call.lot}: {error}")
@@ -287,7 +294,7 @@
         else:
             request.respond(200, [("Content-Type", "application/octet-stream")], body)
 
-    def _end(self, request: CallerRequest, call: LotCall) -> None:
+    def _end_lot(self, request: CallerRequest, call: LotCall) -> None:
         self.reader.end(call.lot)
         request.respond(200)
 
@@ -300,19 +307,20 @@
             reason=reason,
         )
         self.metrics.count("answer", "refused")
-        self._answer_later(request, status, after_s)
+        self._send_retry_after(request, status, after_s)
 
-    def _answer_later(self, request: CallerRequest, status: int, after_s: float) -> None:
+    def _send_retry_after(self, request: CallerRequest, status: int, after_s: float) -> None:
         request.respond(status, [(RETRY_AFTER, f"{after_s:.2f}")], close=self.stopping)
 
 
-def _patience_s(request: CallerRequest) -> float:
-    """Return for how long a hand-in is tried while the store is away; outages take 4 to 6 s.
+def _retry_time_s(request: CallerRequest) -> float:
+    """Return the seconds to retry a submission while the store is unreachable.
 
-    The rest of the trainer's time is left for another try at another gateway.
+    Outages of the store take 4 to 6 s. The rest of the trainer's time is left for an attempt at
+    another gateway.
     """
     left = time_left_s(request.headers)
-    return SETTLE_S if left is None else min(PATIENCE_MOST_S, left * PATIENCE_SHARE)
+    return SETTLE_S if left is None else min(MAX_RETRY_TIME_S, left * RETRY_TIME_SHARE)
 
 
 __all__ = ["EdgeHandler"]
--- a/src/threadramp/edge/job.py
+++ b/src/threadramp/edge/job.py
@@ -1,4 +1,4 @@
-"""A request to forward, and how that ended."""
+"""A request to forward, and its outcome."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class Ending(Enum):
-    """How a forwarded request ended; ``CUT`` is a stream that began and could not go on."""
+    """How a forwarded request ended; ``CUT`` is a stream that began and could not continue."""
 
     ANSWERED = "answered"
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
-    TIME_OVER = "time over"
-    CALLER_GONE = "caller gone"
+    TIMED_OUT = "time over"
+    CALLER_DISCONNECTED = "caller gone"
     STREAMED = "streamed"
     CUT = "cut"
 
@@ -36,10 +36,10 @@
     """A request to forward.
 
     :param target: path and query, as the caller sent them
-    :param deadline: time at which the caller gets a final answer in any case
-    :param caller_socket: the caller's socket, watched for its end; none if nobody waits
-    :param retry_errors: whether an answer 500 is tried elsewhere; else it is the answer
-    :param identity: whose request it is
+    :param deadline: time at which the caller gets a final response in any case
+    :param caller_socket: socket of the caller, watched for a disconnect; none if nobody waits
+    :param retry_errors: whether a status 500 is retried at another endpoint; else it is passed on
+    :param identity: who sent the request
     """
 
     request_id: str
@@ -55,7 +55,7 @@
 
     @cached_property
     def fingerprint(self) -> bytes:
-        """Return what stands for this request whatever its id; worked out when it is asked for."""
+        """Return the fingerprint of this request, which does not depend on its id."""
         known = self.identity.organisation
         caller = caller_of(self.headers) if known is None else known
         return fingerprint(self.route.host, self.method, self.target, caller, self.body)
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How it ended.
+    """The outcome of forwarding a job.
 
-    :param response: of the endpoint, if there is one to pass on
+    :param response: response of the endpoint, if there is one to pass on
     :param first_event_s: seconds until a stream's first event was passed on, none if none was
     """
 
@@ -75,7 +75,7 @@
     first_event_s: float | None = None
 
 
-def has_ended(caller: socket.socket) -> bool:
+def is_disconnected(caller: socket.socket) -> bool:
     """Return whether the caller closed its connection."""
     try:
         if not is_readable(
@@ -89,4 +89,4 @@
         return True
 
 
-__all__ = ["Ending", "Job", "Outcome", "has_ended"]
+__all__ = ["Ending", "Job", "Outcome", "is_disconnected"]
--- a/src/threadramp/edge/server.py
+++ b/src/threadramp/edge/server.py
@@ -1,4 +1,7 @@
-"""CherryPy's HTTP server with our own handler, which needs the bytes as the caller sent them."""
+"""Runs CherryPy's HTTP server (cheroot) with our own handler.
+
+The handler needs the bytes as the caller sent them.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from cheroot.server import Gateway
 from urllib3 import HTTPHeaderDict
 
-from threadramp.edge.heads import CallerServer
+from threadramp.edge.caller_server import CallerServer
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -17,7 +20,7 @@
 
     from threadramp.fleet.model import CallerLimits
 
-KEPT_CONNECTIONS = 1000  # of callers, open at once without a request
+MAX_IDLE_CONNECTIONS = 1000  # of callers, without a request
 BACKLOG = 256
 REASONS = {
     200: "OK",
@@ -35,11 +38,11 @@
 
 
 class BodyTooLongError(Exception):
-    """The caller's body is longer than allowed."""
+    """The request body is longer than allowed."""
 
 
 class CallerRequest:
-    """One request of a caller and the way to answer it."""
+    """One request of a caller, with methods to respond to it."""
 
     def __init__(self, raw) -> None:  # noqa: ANN001 - cheroot's request has no public type
         self.raw = raw
@@ -51,12 +54,12 @@
 
     @property
     def host(self) -> str:
-        """Return the host that the caller names, without a port."""
+        """Return the host of the request, without the port."""
         return self.headers.get("Host", "").partition(":")[0].lower()
 
     @property
     def path(self) -> str:
-        """Return the path without its query."""
+        """Return the path without the query."""
         return self.target.partition("?")[0]
 
     @property
@@ -65,21 +68,22 @@
         return self.raw.conn.socket
 
     @property
-    def arrived(self) -> float:
-        """Return the monotonic time at which its first bytes were there."""
-        return self.raw.conn.arrived
+    def arrived_at(self) -> float:
+        """Return the monotonic time at which the first bytes of the request had arrived."""
+        return self.raw.conn.arrived_at
 
-    def body(self, limit: int) -> bytes:
-        """Read the whole body.
+    def read_body(self, limit: int) -> bytes:
+        """Read the complete body.
 
+        :param limit: in bytes
         :raises BodyTooLongError: if it is longer than ``limit``
         """
         length = self.headers.get("Content-Length", "")
         if length.isdigit() and int(length) > limit:
-            raise BodyTooLongError(f"{length} bytes of at most {limit}")
+            raise BodyTooLongError(f"body of {length} bytes exceeds the limit of {limit}")
         body = self.raw.rfile.read()
         if len(body) > limit:
-            raise BodyTooLongError(f"{len(body)} bytes of at most {limit}")
+            raise BodyTooLongError(f"body of {len(body)} bytes exceeds the limit of {limit}")
         return body
 
     def respond(
@@ -90,7 +94,7 @@
         reason: str = "",
         close: bool = False,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self._head(status, headers, reason, close)
         pairs = self.raw.outheaders
         bodiless = status < 200 or status in (204, 304)
@@ -100,22 +104,22 @@
         if body and self.raw.method != b"HEAD":
             self.raw.write(body)
 
-    def begin(
+    def start_response(
         self, status: int, headers: Iterable[tuple[str, str]], reason: str, close: bool
     ) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the head of a response whose body follows in chunks."""
         self._head(status, headers, reason, close)
         self.raw.ensure_headers_sent()
 
     def write(self, data: bytes) -> None:
-        """Send a piece of the body.
+        """Send a chunk of the body.
 
-        :raises OSError: if the caller has gone
+        :raises OSError: if the caller has disconnected
         """
         self.raw.write(data)
 
-    def cut(self) -> None:
-        """Close the connection in the middle of an answer, without its end."""
+    def abort(self) -> None:
+        """Close the connection in the middle of a response, without the final chunk."""
         self.raw.chunked_write = False
         self.raw.close_connection = True
 
@@ -130,26 +134,26 @@
         if close:
             self.raw.close_connection = True
 
-    def drop(self) -> None:
-        """Close the connection without an answer; the caller has gone."""
+    def close_without_response(self) -> None:
+        """Close the connection without a response, as the caller has disconnected."""
         self.raw.close_connection = True
         self.raw.sent_headers = True
 
 
-class _Edge(Gateway):
-    """Passes each request to the handler of its server."""
+class _HandlerGateway(Gateway):
+    """cheroot gateway that passes each request to the handler of its server."""
 
     def respond(self) -> None:
-        """Answer one request."""
+        """Serve one request."""
         self.req.server.edge.serve(CallerRequest(self.req))
 
 
 class EdgeServer:
     """An HTTP server at one address.
 
-    :param handle: answers a request
-    :param threads: requests that are served at once
-    :param limits: what callers may send and how long they may take, until others are kept
+    :param handle: responds to a request
+    :param threads: number of requests that are served at once
+    :param limits: limits on size and time of requests, until others are set
     """
 
     def __init__(
@@ -161,11 +165,13 @@
     ) -> None:
         host, _, port = address.partition(":")
         self.handle = handle
-        self.server = CallerServer((host, int(port)), _Edge, minthreads=threads, maxthreads=threads)
+        self.server = CallerServer(
+            (host, int(port)), _HandlerGateway, minthreads=threads, maxthreads=threads
+        )
         self.server.edge = self
         self.server.set_limits(limits)
         self.server.request_queue_size = BACKLOG
-        self.server.keep_alive_conn_limit = KEPT_CONNECTIONS
+        self.server.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         self.server.server_name = "threadramp"
         self.server.error_log = _log_server_error
         self.server.prepare()
@@ -174,24 +180,24 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the limits that callers are held to."""
+        """Return the current limits for callers."""
         return self.server.limits
 
     def set_limits(self, limits: CallerLimits) -> None:
-        """Hold callers to other limits from now on."""
+        """Apply other limits from now on."""
         self.server.set_limits(limits)
 
     @property
     def is_busy(self) -> bool:
-        """Return whether a request is being read or answered."""
-        return self.server.taken > 0
+        """Return whether a request is being read or served."""
+        return self.server.active > 0
 
     def stop_accepting(self) -> None:
-        """Read no further request; those that were read are answered."""
+        """Read no further requests; those that were read are still served."""
         self.server.stop_accepting()
 
     def serve(self, request: CallerRequest) -> None:
-        """Answer one request."""
+        """Serve one request."""
         self.handle(request)
 
 
--- a/tests/edge/test_connection_breaks.py
+++ b/tests/edge/test_connection_breaks.py
@@ -1,49 +1,54 @@
-"""What tells that other requests go on at an endpoint that broke one."""
+"""Whether other requests are still active at an endpoint that broke a connection."""
 
 from __future__ import annotations
 
 import threading
 import time
 
-from threadramp.edge.connection_breaks import OTHERS_S, Breaking, Signs, timed_probe
+from threadramp.edge.connection_breaks import (
+    OTHERS_WAIT_S,
+    ConnectionBreak,
+    PendingBreaks,
+    timed_probe,
+)
 from threadramp.edge.endpoint_probe import EndpointState
 from threadramp.fleet.model import Start
 
 START = Start("i-0", 1)
 
 
-def signs(open_there, own: int = 0) -> Signs:
-    return Signs(0.1, False, own, open_there)
+def make_break(count_open, own_open: int = 0) -> ConnectionBreak:
+    return ConnectionBreak(0.1, False, own_open, count_open)
 
 
-def go_on(open_there, own: int = 0) -> bool:
-    breaking = Breaking()
-    seen = signs(open_there, own)
-    with breaking.looked_at(START, seen):
-        return breaking.others_go_on(START, seen)
+def others_active(count_open, own_open: int = 0) -> bool:
+    pending_breaks = PendingBreaks()
+    break_seen = make_break(count_open, own_open)
+    with pending_breaks.probing(START, break_seen):
+        return pending_breaks.others_still_active(START, break_seen)
 
 
-def test_what_stays_open_goes_on():
-    began = time.monotonic()
-    assert go_on(lambda: 1)
-    assert time.monotonic() - began >= OTHERS_S
+def test_requests_that_stay_open_are_still_active():
+    started_at = time.monotonic()
+    assert others_active(lambda: 1)
+    assert time.monotonic() - started_at >= OTHERS_WAIT_S
 
 
-def test_what_breaks_a_little_later_does_not():
-    until = time.monotonic() + OTHERS_S / 2
-    assert not go_on(lambda: int(time.monotonic() < until))
+def test_requests_that_break_a_little_later_are_not_active():
+    break_at = time.monotonic() + OTHERS_WAIT_S / 2
+    assert not others_active(lambda: int(time.monotonic() < break_at))
 
 
-def test_requests_that_are_looked_at_themselves_do_not_count():
-    """Streams are counted as open until their break is dealt with; all wait for each other."""
-    breaking, found = Breaking(), []
+def test_requests_whose_endpoint_is_being_probed_do_not_count():
+    """Streams count as open until their break is handled; broken ones waited for each other."""
+    pending_breaks, found = PendingBreaks(), []
     both = threading.Barrier(2)
 
     def broken() -> None:
-        seen = signs(lambda: 2, own=1)
-        with breaking.looked_at(START, seen):
+        break_seen = make_break(lambda: 2, own_open=1)
+        with pending_breaks.probing(START, break_seen):
             both.wait(5.0)
-            found.append(breaking.others_go_on(START, seen))
+            found.append(pending_breaks.others_still_active(START, break_seen))
             both.wait(5.0)
 
     threads = [threading.Thread(target=broken) for _ in range(2)]
@@ -52,34 +57,34 @@
     for thread in threads:
         thread.join(5.0)
     assert found == [False, False]
-    assert not breaking.looking and not breaking.counted
+    assert not pending_breaks.pending and not pending_breaks.pending_open
 
 
-def test_one_that_is_answered_meanwhile_went_on():
-    breaking = Breaking()
-    breaking.note_answer(START)  # before there was a break
-    seen = signs(lambda: 0)
-    with breaking.looked_at(START, seen):
-        assert not breaking.others_go_on(START, seen)
-        breaking.note_answer(START)
-        assert breaking.others_go_on(START, seen)
-    assert not breaking.answered
+def test_a_response_during_the_probe_shows_that_others_are_active():
+    pending_breaks = PendingBreaks()
+    pending_breaks.record_response(START)  # before there was a break
+    break_seen = make_break(lambda: 0)
+    with pending_breaks.probing(START, break_seen):
+        assert not pending_breaks.others_still_active(START, break_seen)
+        pending_breaks.record_response(START)
+        assert pending_breaks.others_still_active(START, break_seen)
+    assert not pending_breaks.responded
 
 
-def test_a_break_is_looked_at_twice_and_the_longer_look_counts():
+def test_a_break_is_probed_twice_and_the_longer_duration_counts():
     shown = [(0.0, EndpointState.BREAKS), (0.05, EndpointState.BREAKS)]
 
-    def look(address: str) -> EndpointState:
+    def probe(address: str) -> EndpointState:
         pause, state = shown.pop(0)
         time.sleep(pause)
         return state
 
-    found = timed_probe("127.0.0.1:1", look)
+    found = timed_probe("127.0.0.1:1", probe)
     assert found.state is EndpointState.BREAKS
     assert found.took_s >= 0.05
     assert not shown
 
 
-def test_what_listens_the_second_time_did_not_end():
+def test_an_endpoint_that_listens_on_the_second_probe_has_not_crashed():
     shown = [EndpointState.BREAKS, EndpointState.LISTENS]
     assert timed_probe("127.0.0.1:1", lambda address: shown.pop(0)).state is EndpointState.LISTENS
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -1,7 +1,7 @@
-"""Requests under which endpoints end, at one gateway, against stand-ins that crash.
+"""Requests that crash endpoints, at one gateway, against stand-ins that crash.
 
-The incident is told in ``tests/serve/test_crashes.py``; here stand its parts: what counts as an
-end, how many endpoints one id may end, who is held back and who is not.
+``tests/serve/test_crashes.py`` describes the incident. Tested here are its parts: what counts as a
+crash, how many endpoints one id may crash, and which requests are held back.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import pytest
 
-from threadramp.edge.attempt_loop import REJECTED_PAUSE_S, REJECTED_ROUNDS, Attempts
+from threadramp.edge.attempt_loop import MAX_REJECTION_ROUNDS, REJECTION_PAUSE_S, AttemptLoop
 from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
@@ -25,15 +25,15 @@
 from threadramp.policy.fingerprint import fingerprint
 from threadramp.policy.retries import RetryBudget
 
-COUNT = 6
+ENDPOINT_COUNT = 6
 
 
-class Crowd:
-    """One gateway's forwarder and a pool whose endpoints crash and stay away for long."""
+class CrashingPool:
+    """One gateway's forwarder and a pool whose endpoints stay down after a crash."""
 
     def __init__(self) -> None:
         self.picture = Picture()
-        self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(COUNT)]
+        self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(ENDPOINT_COUNT)]
         self.list_all()
         self.forwarder = Forwarder(
             self.picture, ConnectionPool(), EndpointChoice(Random(2)), RetryBudget(), Clock()
@@ -66,170 +66,168 @@
 
 
 @pytest.fixture
-def crowd():
-    made = Crowd()
+def pool():
+    made = CrashingPool()
     yield made
     for one in made.standins:
         one.close()
 
 
-def test_one_id_ends_two_endpoints_and_is_told_that_it_may_have_run(crowd):
-    assert crowd.run().ending is Ending.UNKNOWN
-    assert crowd.crashes == 2
+def test_one_id_crashes_two_endpoints_and_its_outcome_is_unknown(pool):
+    assert pool.run().ending is Ending.UNKNOWN
+    assert pool.crashes == 2
 
 
-def test_the_third_endpoint_is_the_last_and_the_next_id_is_refused_at_once(crowd):
-    crowd.run()
-    assert crowd.run().ending is Ending.UNKNOWN
-    assert crowd.crashes == 3
+def test_after_three_crashes_the_next_id_is_refused_at_once(pool):
+    pool.run()
+    assert pool.run().ending is Ending.UNKNOWN
+    assert pool.crashes == 3
     started = steady_s()
-    outcome = crowd.run()
-    assert (outcome.ending, crowd.crashes) == (Ending.NOT_RUN, 3)
+    outcome = pool.run()
+    assert (outcome.ending, pool.crashes) == (Ending.NOT_RUN, 3)
     assert steady_s() - started < 0.05
     assert 0 < outcome.retry_after_s <= TRIALS_AFTER_S[0]
 
 
-def test_no_second_endpoint_is_asked_beside_the_first_once_one_has_ended(crowd):
-    for one in crowd.standins:
+def test_no_hedged_attempt_is_made_after_a_crash(pool):
+    for one in pool.standins:
         one.run_s = 0.3
-    crowd.run(target_s=10.0)
-    begun = len([1 for one in crowd.standins for _ in one.begun])
-    crowd.run(target_s=0.1)
-    assert len([1 for one in crowd.standins for _ in one.begun]) == begun + 1
+    pool.run(target_s=10.0)
+    begun = len([1 for one in pool.standins for _ in one.begun])
+    pool.run(target_s=0.1)
+    assert len([1 for one in pool.standins for _ in one.begun]) == begun + 1
 
 
-def test_a_request_that_runs_once_ends_one_endpoint(crowd):
-    assert crowd.run(kind=RouteKind.ONCE).ending is Ending.UNKNOWN
-    assert crowd.crashes == 1
+def test_a_request_that_may_run_once_crashes_one_endpoint(pool):
+    assert pool.run(kind=RouteKind.ONCE).ending is Ending.UNKNOWN
+    assert pool.crashes == 1
 
 
-def test_a_crash_on_a_kept_connection_is_no_dropped_connection(crowd):
+def test_a_crash_on_a_reused_connection_is_not_taken_for_a_stale_one(pool):
     for _ in range(30):
-        crowd.run("/calm")
-    assert crowd.forwarder.connections.idle
-    crowd.run()
-    assert crowd.crashes == 2
-    assert crowd.verdict() is Verdict.APART
+        pool.run("/calm")
+    assert pool.forwarder.connection_pool.idle
+    pool.run()
+    assert pool.crashes == 2
+    assert pool.verdict() is Verdict.APART
 
 
-def test_a_connection_that_is_cut_is_held_against_nobody(crowd):
-    for one in crowd.standins:
+def test_a_cut_connection_is_attributed_to_no_request(pool):
+    for one in pool.standins:
         one.engine.faults["hold_s"] = 0.2
-    threading.Timer(0.1, lambda: [one.cut() for one in crowd.standins]).start()
-    assert crowd.run("/calm", target_s=5.0).ending is Ending.ANSWERED
-    assert crowd.guard.book.is_empty
+    threading.Timer(0.1, lambda: [one.cut() for one in pool.standins]).start()
+    assert pool.run("/calm", target_s=5.0).ending is Ending.ANSWERED
+    assert pool.guard.book.is_empty
 
 
-def test_the_end_of_an_endpoint_that_leaves_is_held_against_nobody(crowd):
-    for one in crowd.standins:
+def test_the_crash_of_a_leaving_endpoint_is_attributed_to_no_request(pool):
+    for one in pool.standins:
         one.engine.faults["hold_s"] = 0.3
 
     def leave() -> None:
-        crowd.list_all(leaving=True)
-        for one in crowd.standins:
+        pool.list_all(leaving=True)
+        for one in pool.standins:
             one.crash()
 
     threading.Timer(0.1, leave).start()
-    crowd.run("/calm", target_s=5.0)
-    assert crowd.guard.book.is_empty
+    pool.run("/calm", target_s=5.0)
+    assert pool.guard.book.is_empty
 
 
-def test_one_that_was_beside_a_crash_is_run_again_and_acquitted(crowd):
-    for one in crowd.standins:
+def test_a_request_open_during_a_crash_is_retried_and_cleared(pool):
+    for one in pool.standins:
         one.run_s = 0.15
         one.engine.faults["hold_s"] = 0.25
     found = []
     threads = [
-        threading.Thread(target=lambda n=n: found.append(crowd.run(f"/calm/{n}", target_s=5.0)))
+        threading.Thread(target=lambda n=n: found.append(pool.run(f"/calm/{n}", target_s=5.0)))
         for n in range(12)
     ]
     for thread in threads:
         thread.start()
     time.sleep(0.05)
-    crowd.run(target_s=5.0)
+    pool.run(target_s=5.0)
     for thread in threads:
         thread.join()
     assert sum(one.ending is Ending.ANSWERED for one in found) >= 11
-    answered = [n for n in range(12) if crowd.verdict(f"/calm/{n}") is Verdict.FREE]
+    answered = [n for n in range(12) if pool.verdict(f"/calm/{n}") is Verdict.FREE]
     assert len(answered) >= 11
 
 
-def test_a_trial_that_is_answered_acquits(crowd):
-    crowd.run()
-    crowd.run()
-    clock = crowd.guard.clock
-    crowd.guard.clock = Later(clock, TRIALS_AFTER_S[0])
-    crowd.run()
-    assert (crowd.crashes, crowd.verdict()) == (4, Verdict.REFUSED)
-    for one in crowd.standins:
+def test_a_trial_with_a_response_clears_the_request(pool):
+    pool.run()
+    pool.run()
+    clock = pool.guard.clock
+    pool.guard.clock = LaterClock(clock, TRIALS_AFTER_S[0])
+    pool.run()
+    assert (pool.crashes, pool.verdict()) == (4, Verdict.REFUSED)
+    for one in pool.standins:
         one.mended = True
-    crowd.guard.clock = Later(clock, sum(TRIALS_AFTER_S) + 1.0)
-    assert crowd.run().ending is Ending.ANSWERED
-    assert crowd.verdict() is Verdict.FREE
+    pool.guard.clock = LaterClock(clock, sum(TRIALS_AFTER_S) + 1.0)
+    assert pool.run().ending is Ending.ANSWERED
+    assert pool.verdict() is Verdict.FREE
 
 
-def test_a_trial_is_begun_once_also_where_its_connection_is_cut(crowd):
-    crowd.run()
-    crowd.run()
-    crowd.guard.clock = Later(crowd.guard.clock, TRIALS_AFTER_S[0])
-    for one in crowd.standins:
-        one.crash = one.cut  # it lives on
-    begun = sum(len(one.begun) for one in crowd.standins)
-    assert crowd.run().ending is Ending.UNKNOWN
-    assert sum(len(one.begun) for one in crowd.standins) == begun + 1
+def test_a_trial_is_started_once_even_if_its_connection_is_cut(pool):
+    pool.run()
+    pool.run()
+    pool.guard.clock = LaterClock(pool.guard.clock, TRIALS_AFTER_S[0])
+    for one in pool.standins:
+        one.crash = one.cut  # it stays alive
+    begun = sum(len(one.begun) for one in pool.standins)
+    assert pool.run().ending is Ending.UNKNOWN
+    assert sum(len(one.begun) for one in pool.standins) == begun + 1
 
 
 @pytest.fixture
 def pauses(monkeypatch) -> list[float]:
-    """The pauses that requests made before they asked again."""
+    """The pauses of requests before they tried again."""
     made: list[float] = []
-    monkeypatch.setattr(Attempts, "_pause", lambda self, seconds: made.append(seconds))
+    monkeypatch.setattr(AttemptLoop, "_pause", lambda self, seconds: made.append(seconds))
     return made
 
 
-def test_one_that_finds_other_suspects_everywhere_goes_beside_them_after_a_short_wait(
-    crowd, pauses
-):
-    for one in crowd.standins:
+def test_a_suspect_shares_an_endpoint_after_a_short_wait_if_none_is_free(pool, pauses):
+    for one in pool.standins:
         one.engine.faults["hold_s"] = 0.0
-    for one in crowd.standins[:2]:
-        crowd.guard.record_crash("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
-    assert crowd.verdict("/calm") is Verdict.APART
-    for one in crowd.standins:
-        assert crowd.guard.take_place(Start(one.instance))
-    assert crowd.run("/calm").ending is Ending.ANSWERED
-    assert pauses == [REJECTED_PAUSE_S] * REJECTED_ROUNDS
-    assert crowd.verdict("/calm") is Verdict.FREE
-
-
-def test_a_refused_request_whose_trial_another_box_has_is_not_sent(crowd):
-    crowd.run()
-    crowd.run()
-    crowd.guard.claim = lambda fingerprint, trial: False
-    crowd.guard.clock = Later(crowd.guard.clock, TRIALS_AFTER_S[0])
-    begun = sum(len(one.begun) for one in crowd.standins)
-    assert crowd.run().ending is Ending.NOT_RUN
-    assert sum(len(one.begun) for one in crowd.standins) == begun
-
-
-def test_where_nobody_listens_the_caller_is_told_at_once(crowd, pauses):
-    """Four rounds of refused connections held callers for 0.16 s before."""
-    for one in crowd.standins:
+    for one in pool.standins[:2]:
+        pool.guard.record_crash("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
+    assert pool.verdict("/calm") is Verdict.APART
+    for one in pool.standins:
+        assert pool.guard.isolate(Start(one.instance))
+    assert pool.run("/calm").ending is Ending.ANSWERED
+    assert pauses == [REJECTION_PAUSE_S] * MAX_REJECTION_ROUNDS
+    assert pool.verdict("/calm") is Verdict.FREE
+
+
+def test_a_refused_request_whose_trial_another_box_claimed_is_not_sent(pool):
+    pool.run()
+    pool.run()
+    pool.guard.claim = lambda fingerprint, trial: False
+    pool.guard.clock = LaterClock(pool.guard.clock, TRIALS_AFTER_S[0])
+    begun = sum(len(one.begun) for one in pool.standins)
+    assert pool.run().ending is Ending.NOT_RUN
+    assert sum(len(one.begun) for one in pool.standins) == begun
+
+
+def test_the_caller_is_refused_at_once_if_no_endpoint_listens(pool, pauses):
+    """Four rounds of refused connections used to delay callers by 0.16 s."""
+    for one in pool.standins:
         one.crash()
     started = steady_s()
-    outcome = crowd.run("/calm")
+    outcome = pool.run("/calm")
     assert outcome.ending is Ending.NOT_RUN
     assert outcome.retry_after_s >= 1.0
     assert steady_s() - started < 0.05
 
 
-def test_nothing_is_worked_out_for_requests_while_none_is_suspected(crowd):
-    crowd.guard.book.ruling = None  # it would fail
-    assert crowd.run("/calm").ending is Ending.ANSWERED
+def test_no_request_is_assessed_while_none_is_suspect(pool):
+    pool.guard.book.ruling = None  # a call would fail
+    assert pool.run("/calm").ending is Ending.ANSWERED
 
 
-class Later:
-    """A clock some time ahead."""
+class LaterClock:
+    """A clock that is ahead by some time."""
 
     def __init__(self, clock, ahead_s: float) -> None:
         self.clock = clock
--- a/tests/edge/test_echo.py
+++ b/tests/edge/test_echoed_request.py
@@ -1,4 +1,4 @@
-"""A body that holds the head of its own request, as an endpoint that echoes answers it."""
+"""A response body that contains the head of its own request, as from an echoing endpoint."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 @pytest.mark.parametrize("kind", [RouteKind.ONCE, RouteKind.REPEATABLE])
-def test_an_endpoint_that_echoes_a_head_gets_its_answers_through(kind):
-    """Nothing was on the connection before, so that nothing of before can be in the body."""
+def test_a_response_that_echoes_the_request_head_is_passed_on(kind):
+    """The connection is new, so the body cannot contain bytes of an earlier response."""
 
     def answer(number: int, request: bytes) -> bytes:
         body = b"you sent:\r\nPOST /x HTTP/1.1\r\n" + request.partition(b"\r\n")[2]
--- a/tests/edge/test_interim.py
+++ b/tests/edge/test_interim_responses.py
@@ -1,4 +1,4 @@
-"""Interim answers of endpoints."""
+"""Interim (1xx) responses of endpoints."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 @pytest.mark.parametrize("interim", [b"102 Processing", b"103 Early Hints"])
-def test_an_interim_answer_is_not_the_answer(interim):
-    """The library waits behind 100 alone; any other was passed on as the whole answer."""
+def test_an_interim_response_is_not_the_response(interim):
+    """http.client skips only status 100; any other was passed on as the complete response."""
 
     def answer(number: int, request: bytes) -> bytes:
         own = {"X_Attempt_Id": header_of(request, "X-Attempt-Id"), "X_Server_Stamp": "s"}
--- a/tests/edge/test_filled_up.py
+++ b/tests/edge/test_mixed_responses.py
@@ -1,4 +1,4 @@
-"""A body that bytes of an earlier answer fill up, while its own rest is still on the way."""
+"""A body that is filled up by bytes of another response while its own rest is still to come."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 BODY = b"whole-" * 50
 OTHER = b"other-" * 50
-PAUSE_S = 0.1  # between two segments of one answer; nothing says that an answer comes in one
+PAUSE_S = 0.1  # between two segments of a response, which need not arrive in one segment
 
 
-class Filling(Stutterer):
-    """Answers the first request; the second one's answer has an earlier one in its midst."""
+class MixingEndpoint(Stutterer):
+    """Answers the first request; the response to the second contains an earlier response."""
 
-    def __init__(self, named: dict[str, str], own_bytes: int, ends: bool) -> None:
-        self.named = named
+    def __init__(self, headers_of_other: dict[str, str], own_bytes: int, ends: bool) -> None:
+        self.headers_of_other = headers_of_other
         self.own_bytes = own_bytes
         self.ends = ends
         super().__init__(lambda number, request: b"", SOON)
@@ -36,13 +36,16 @@
         for number in (1, 2):
             request = _read_request(caller)
             self.requests.append(request)
-            named = {"X_Attempt_Id": header_of(request, "X-Attempt-Id"), "X_Server_Stamp": "s"}
-            whole = response(BODY, **named)
+            own_headers = {
+                "X_Attempt_Id": header_of(request, "X-Attempt-Id"),
+                "X_Server_Stamp": "s",
+            }
+            whole = response(BODY, **own_headers)
             if number == 1:
                 caller.sendall(whole)
                 continue
             cut = len(whole) - len(BODY) + self.own_bytes
-            second = response(OTHER, X_Server_Stamp="s", **self.named)
+            second = response(OTHER, X_Server_Stamp="s", **self.headers_of_other)
             caller.sendall(whole[:cut] + second[: len(BODY) - self.own_bytes])
             time.sleep(PAUSE_S)
             with suppress(OSError):  # it is closed by then
@@ -52,20 +55,22 @@
                     caller.sendall(whole[cut:])
 
 
-@pytest.mark.parametrize("named", [{}, {"X_Attempt_Id": "of-another"}, {"X_Attempt_Id": "r1"}])
+@pytest.mark.parametrize(
+    "headers_of_other", [{}, {"X_Attempt_Id": "of-another"}, {"X_Attempt_Id": "r1"}]
+)
 @pytest.mark.parametrize("own_bytes", [0, 100, 250])
 @pytest.mark.parametrize("ends", [False, True], ids=["goes on", "cut short"])
-def test_a_body_that_another_answer_filled_up_is_not_passed_on(named, own_bytes, ends):
-    endpoint = Filling(named, own_bytes, ends)
+def test_a_body_filled_up_by_another_response_is_not_passed_on(headers_of_other, own_bytes, ends):
+    endpoint = MixingEndpoint(headers_of_other, own_bytes, ends)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
     connections = ConnectionPool()
     forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     try:
-        for ident in ("r1", "r2"):
-            headers = (("Host", "h"), ("X-Attempt-Id", ident))
-            job = Job(ident, "POST", "/x", headers, b"q", route, steady_s() + 2.0)
+        for request_id in ("r1", "r2"):
+            headers = (("Host", "h"), ("X-Attempt-Id", request_id))
+            job = Job(request_id, "POST", "/x", headers, b"q", route, steady_s() + 2.0)
             outcome = forwarder.run(job)
             if outcome.ending is Ending.ANSWERED:
                 assert outcome.response.body == BODY
@@ -74,8 +79,8 @@
     assert connections.opened == 1
 
 
-class CutAndAgain(Stutterer):
-    """Cuts its answer short and gives it again at once, whole, on the same connection."""
+class TruncatingEndpoint(Stutterer):
+    """Truncates its response and sends it again at once, complete, on the same connection."""
 
     def __init__(self, own_bytes: int) -> None:
         self.own_bytes = own_bytes
@@ -83,15 +88,15 @@
 
     def _serve(self, caller) -> None:
         request = _read_request(caller)
-        ident = header_of(request, "X-Attempt-Id")
-        whole = response(BODY, X_Attempt_Id=ident, X_Server_Stamp="s")
+        request_id = header_of(request, "X-Attempt-Id")
+        whole = response(BODY, X_Attempt_Id=request_id, X_Server_Stamp="s")
         caller.sendall(whole[: len(whole) - len(BODY) + self.own_bytes] + whole)
 
 
 @pytest.mark.parametrize("own_bytes", [100, 250, 290])
-def test_an_answer_cut_short_that_its_own_copy_fills_up_is_not_passed_on(own_bytes):
-    """On a connection that carried nothing before, in one segment."""
-    endpoint = CutAndAgain(own_bytes)
+def test_a_truncated_response_filled_up_by_its_own_copy_is_not_passed_on(own_bytes):
+    """On a new connection, in one segment."""
+    endpoint = TruncatingEndpoint(own_bytes)
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
     forwarder = Forwarder(
--- a/tests/edge/test_stale_connections.py
+++ b/tests/edge/test_stale_connections.py
@@ -1,4 +1,4 @@
-"""Endpoints that drop idle connections without a word: the next request on one is reset."""
+"""Endpoints that drop idle connections silently: the next request on one is reset."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from threadramp.policy.retries import RetryBudget
 
 ANSWER = b"HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\nContent-Length: 2\r\n\r\nok"
-RESET = struct.pack("ii", 1, 0)  # close without a word to the other side
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER: reset at close
 
 
 def read_request(connection: socket.socket) -> bytes:
-    """Read a whole request and return its head; its head and its body may come apart."""
+    """Read a complete request and return its head; head and body may arrive separately."""
     found = b""
     while b"\r\n\r\n" not in found:
         found += connection.recv(65_536)
@@ -40,7 +40,7 @@
 
 
 class DroppingEndpoint:
-    """Answers the first request of each connection and resets at the second."""
+    """Answers the first request of each connection and resets it at the second."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -59,7 +59,7 @@
                 threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
     def _serve(self, connection: socket.socket) -> None:
-        # A gateway asks an endpoint that broke a connection for its report; that runs nothing.
+        # A gateway queries the report of an endpoint that broke a connection; that runs nothing.
         self.requests += REPORT_PATH.encode() not in read_request(connection)
         connection.sendall(ANSWER)
         connection.recv(65_536)  # the first bytes of the second request
@@ -75,30 +75,30 @@
         one.listener.close()
 
 
-def carry_out(exchange: Exchange) -> EndpointResponse:
+def run_exchange(exchange: Exchange) -> EndpointResponse:
     exchange.send("POST", "/", {"Host": "h"}, b"q")
     return exchange.read(1.0)
 
 
-def test_a_kept_connection_that_was_dropped_is_told_from_an_endpoint_that_failed(dropping):
+def test_a_dropped_idle_connection_is_not_an_endpoint_failure(dropping):
     connections = ConnectionPool()
     exchange = connections.acquire(dropping[0].endpoint, 0.0, 1.0)
-    connections.release(exchange, carry_out(exchange), 0.0)
+    connections.release(exchange, run_exchange(exchange), 0.0)
     with pytest.raises(ExchangeError) as failure:
-        carry_out(connections.acquire(dropping[0].endpoint, 0.0, 1.0))
+        run_exchange(connections.acquire(dropping[0].endpoint, 0.0, 1.0))
     assert failure.value.stale
     assert failure.value.sent
 
 
 def test_a_new_connection_that_breaks_is_not_stale(dropping):
     exchange = ConnectionPool().acquire(dropping[0].endpoint, 0.0, 1.0)
-    carry_out(exchange)
+    run_exchange(exchange)
     with pytest.raises(ExchangeError) as failure:
-        carry_out(exchange)
+        run_exchange(exchange)
     assert not failure.value.stale
 
 
-def test_a_request_that_runs_once_is_not_sent_again_after_its_bytes_left(dropping):
+def test_a_request_that_may_run_once_is_not_sent_again_after_its_bytes_left(dropping):
     picture = Picture()
     only = dropping[0].endpoint
     picture.belief = Belief(endpoints={only.instance: only})
--- a/tests/edge/test_broken_streams.py
+++ b/tests/edge/test_stream_errors.py
@@ -1,4 +1,4 @@
-"""An error that nobody foresaw, in the midst of a stream to a caller."""
+"""An unexpected error in the middle of a stream to a caller."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from threadramp.report.metrics import Metrics
 
 
-def test_a_stream_that_an_error_ended_does_not_look_whole():
-    """The handler's last resort cuts nothing: the server ends the pieces as if all had come."""
+def test_a_stream_ended_by_an_error_does_not_look_complete():
+    """Unless the handler cuts the connection, the server ends the chunked body as if complete."""
 
     def serve(request) -> None:
         headers = [("X-Server-Stamp", "s"), ("Content-Type", "text/event-stream")]
-        request.begin(200, headers, "", close=False)
+        request.start_response(200, headers, "", close=False)
         request.write(b"id: 1\ndata: a\n\n")
         raise RuntimeError("unforeseen")
 
--- a/tests/edge/test_streaming.py
+++ b/tests/edge/test_streaming.py
@@ -1,4 +1,4 @@
-"""Streams on their way from endpoints to callers, against stand-ins and over real connections."""
+"""Forwarding of streams to callers, against stand-ins and over real connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.edge.server import EdgeServer
-from threadramp.edge.streaming import GO_BACK_MOST, SILENT_S, StreamForwarder
+from threadramp.edge.streaming import MAX_RETURNS, STALL_TIMEOUT_S, StreamForwarder
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.model import CallerLimits, Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
@@ -25,8 +25,8 @@
 from threadramp.policy.retries import RetryBudget
 
 
-class World:
-    """Engines of one pool behind one gateway's HTTP server."""
+class StreamingGateway:
+    """One gateway's HTTP server and the engines of one pool behind it."""
 
     def __init__(self, serve) -> None:
         self.serve = serve
@@ -36,9 +36,9 @@
         access = Forwarder(
             self.picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
         )
-        self.watch = DisconnectWatcher()
-        self.watch.start()
-        self.streams = StreamForwarder(access, self.watch)
+        self.watcher = DisconnectWatcher()
+        self.watcher.start()
+        self.streams = StreamForwarder(access, self.watcher)
         self.outcomes = []
         self.route = {"attempts": 3, "resumable": True, "priority": 3}
         self.time_s = 8.0
@@ -59,7 +59,7 @@
             "r", "h", "/", RouteKind.STREAM, (PoolShare("p", 1.0),), self.time_s, 1.0,
             rules["attempts"], rules["priority"], rules["resumable"],
         )  # fmt: skip
-        body = request.body(1_000_000)
+        body = request.read_body(1_000_000)
         job = Job(
             request_id(request.headers), request.method, request.target,
             tuple(request.headers.items()), body, route, steady_s() + self.time_s, request.socket,
@@ -70,8 +70,8 @@
             request.respond(503)
         elif outcome.ending is Ending.ANSWERED:
             request.respond(outcome.response.head.status, (), outcome.response.body)
-        elif outcome.ending is Ending.CALLER_GONE:
-            request.drop()
+        elif outcome.ending is Ending.CALLER_DISCONNECTED:
+            request.close_without_response()
         elif outcome.ending not in (Ending.STREAMED, Ending.CUT):
             request.respond(504)
 
@@ -92,8 +92,8 @@
 
 
 @pytest.fixture
-def world(serve) -> World:
-    made = World(serve)
+def gateway(serve) -> StreamingGateway:
+    made = StreamingGateway(serve)
     yield made
     made.server.server.stop()
 
@@ -102,121 +102,126 @@
     return b"".join(f"id: {n}\ndata: {name}-{n}\n\n".encode() for n in range(first, last + 1))
 
 
-def test_events_are_passed_on_as_they_come(world):
-    world.add(events=6, gap_s=0.2)
+def test_events_are_relayed_as_they_arrive(gateway):
+    gateway.add(events=6, gap_s=0.2)
     started = steady_s()
-    response = world.open().getresponse()
+    response = gateway.open().getresponse()
     assert (response.status, response.headers["X-Server-Stamp"]) == (200, "sig-req")
     assert response.read(len(events(1, 1))) == events(1, 1)
     assert steady_s() - started < 0.8
     assert response.read() == events(2, 6)
-    assert world.outcomes[0].ending is Ending.STREAMED
-    assert 0.1 < world.outcomes[0].first_event_s < 0.8
+    assert gateway.outcomes[0].ending is Ending.STREAMED
+    assert 0.1 < gateway.outcomes[0].first_event_s < 0.8
 
 
-def test_the_connection_serves_on_behind_a_stream(world):
-    world.add(events=2)
-    connection = world.open()
+def test_the_connection_is_reused_after_a_stream(gateway):
+    gateway.add(events=2)
+    connection = gateway.open()
     assert connection.getresponse().read() == events(1, 2)
     head = {"Host": "h", "X-Attempt-Id": "req", "X-Model": "m"}
     connection.request("POST", "/a/b", b"prompt", head)
     assert connection.getresponse().read() == events(1, 2)
 
 
-def test_a_stream_that_breaks_goes_on_elsewhere_behind_its_last_event(world):
-    world.add(events=8, cut=1)
-    world.add(events=8, cut=1)
-    status, body, headers = world.read()
+def test_an_interrupted_stream_is_resumed_elsewhere_after_its_last_event(gateway):
+    gateway.add(events=8, cut=1)
+    gateway.add(events=8, cut=1)
+    status, body, headers = gateway.read()
     assert (status, body) == (200, events(1, 8))
     assert headers["X-Server-Stamp"] == "sig-req"
-    assert [run["after"] for run in sorted(world.runs, key=lambda run: run["after"])][:2] == [0, 3]
-
-
-def test_a_stream_that_may_not_be_resumed_is_cut(world):
-    world.route["resumable"] = False
-    world.add(events=8, cut=1)
-    world.add(events=8)
-    world.engines[1].faults["reject"] = 99
-    response = world.open().getresponse()
+    assert [run["after"] for run in sorted(gateway.runs, key=lambda run: run["after"])][:2] == [
+        0,
+        3,
+    ]
+
+
+def test_a_stream_that_may_not_be_resumed_is_cut(gateway):
+    gateway.route["resumable"] = False
+    gateway.add(events=8, cut=1)
+    gateway.add(events=8)
+    gateway.engines[1].faults["reject"] = 99
+    response = gateway.open().getresponse()
     with pytest.raises(http.client.IncompleteRead) as failure:
         response.read()
     assert failure.value.partial == events(1, 3)
-    assert len(world.runs) == 1
-    assert world.outcomes[0].ending is Ending.CUT
+    assert len(gateway.runs) == 1
+    assert gateway.outcomes[0].ending is Ending.CUT
 
 
-def test_no_more_endpoints_than_allowed_run_a_stream(world):
-    world.route["attempts"] = 2
+def test_no_more_endpoints_than_allowed_run_a_stream(gateway):
+    gateway.route["attempts"] = 2
     for _ in range(3):
-        world.add(events=20, cut=9)
+        gateway.add(events=20, cut=9)
     with pytest.raises(http.client.IncompleteRead):
-        world.open().getresponse().read()
-    assert sum(bool(engine.runs) for engine in world.engines) == 2
-    assert len(world.runs) == 2 + GO_BACK_MOST
+        gateway.open().getresponse().read()
+    assert sum(bool(engine.runs) for engine in gateway.engines) == 2
+    assert len(gateway.runs) == 2 + MAX_RETURNS
 
 
-def test_a_stream_goes_back_to_an_endpoint_where_it_broke_off_if_there_is_no_other(world):
-    world.add(events=8, cut=1)
-    assert world.read()[1] == events(1, 8)
-    assert [run["after"] for run in world.runs] == [0, 3]
+def test_a_stream_returns_to_an_endpoint_where_it_was_interrupted_if_there_is_no_other(gateway):
+    gateway.add(events=8, cut=1)
+    assert gateway.read()[1] == events(1, 8)
+    assert [run["after"] for run in gateway.runs] == [0, 3]
 
 
-def test_a_silent_endpoint_is_left_for_another(world):
-    world.add(events=3, gap_s=0.02)
-    world.add(events=3, gap_s=SILENT_S * 3)
+def test_a_stalled_endpoint_is_replaced_by_another(gateway):
+    gateway.add(events=3, gap_s=0.02)
+    gateway.add(events=3, gap_s=STALL_TIMEOUT_S * 3)
     started = steady_s()
     for _ in range(3):
-        assert world.read()[1] == events(1, 3)
-    assert steady_s() - started < SILENT_S * 5
+        assert gateway.read()[1] == events(1, 3)
+    assert steady_s() - started < STALL_TIMEOUT_S * 5
 
 
-def test_a_rejected_stream_was_not_run_and_the_caller_is_told(world):
-    world.add(reject=99)
-    status, _, _ = world.read()
+def test_a_rejected_stream_was_not_run_and_is_refused(gateway):
+    gateway.add(reject=99)
+    status, _, _ = gateway.read()
     assert status == 503
-    assert world.runs == []
+    assert gateway.runs == []
 
 
-def test_a_failure_of_every_endpoint_is_the_answer(world):
-    world.add(fail=9)
-    assert world.read()[0] == 500
+def test_an_error_of_every_endpoint_is_the_response(gateway):
+    gateway.add(fail=9)
+    assert gateway.read()[0] == 500
 
 
-def test_an_impossible_request_is_told_so(world):
-    world.add(impossible=9)
-    assert world.read()[0] == 422
+def test_an_impossible_request_gets_status_422(gateway):
+    gateway.add(impossible=9)
+    assert gateway.read()[0] == 422
 
 
-def test_an_answer_to_another_request_is_not_passed_on(world):
-    world.add(other_id=1)
-    world.add(other_id=1)
-    status, body, _ = world.read()
+def test_a_response_to_another_request_is_not_passed_on(gateway):
+    gateway.add(other_id=1)
+    gateway.add(other_id=1)
+    status, body, _ = gateway.read()
     assert status == 504 or body == events(1, 5)
 
 
 @pytest.fixture
-def stuttering(world, serve):
-    """The front of the one engine of a world."""
+def stuttering(gateway, serve):
+    """The proxy in front of the gateway's only engine."""
     fronts = []
 
     def behind_front(standin) -> str:
         fronts.append(StutteringFront(serve(standin)))
         return fronts[0].address
 
-    world.serve = behind_front
-    world.add(events=4)
+    gateway.serve = behind_front
+    gateway.add(events=4)
     yield fronts[0]
     fronts[0].close()
 
 
-@pytest.mark.parametrize("second", list(Second))
+@pytest.mark.parametrize("duplicate", list(Second))
 @pytest.mark.parametrize("moment", list(Moment))
 @pytest.mark.parametrize("resumable", [True, False])
-def test_every_event_is_of_the_callers_own_stream(world, stuttering, second, moment, resumable):
-    world.route["resumable"] = resumable
-    stuttering.stutter = Stutter(second, moment)
+def test_every_event_is_of_the_callers_own_stream(
+    gateway, stuttering, duplicate, moment, resumable
+):
+    gateway.route["resumable"] = resumable
+    stuttering.stutter = Stutter(duplicate, moment)
     for name in ("a", "b", "c", "d"):
-        response = world.open(X_Attempt_Id=name).getresponse()
+        response = gateway.open(X_Attempt_Id=name).getresponse()
         try:
             body, is_whole = response.read(), True
         except http.client.IncompleteRead as error:
@@ -226,15 +231,15 @@
             assert not is_whole or body == events(1, 4, name)
 
 
-def test_a_connection_to_an_endpoint_is_used_again_behind_a_stream(world, stuttering):
+def test_a_connection_to_an_endpoint_is_reused_after_a_stream(gateway, stuttering):
     for name in ("a", "b", "c"):
-        assert world.read(X_Attempt_Id=name)[1] == events(1, 4, name)
+        assert gateway.read(X_Attempt_Id=name)[1] == events(1, 4, name)
     assert stuttering.opened == 1
 
 
-def test_work_for_a_caller_that_left_is_ended(world):
-    engine = world.add(events=400, gap_s=0.05)
-    connection = world.open()
+def test_work_for_a_disconnected_caller_is_cancelled(gateway):
+    engine = gateway.add(events=400, gap_s=0.05)
+    connection = gateway.open()
     response = connection.getresponse()
     response.read(len(events(1, 1)))
     response.close()
@@ -247,22 +252,22 @@
     assert len(engine.runs) == 1
 
 
-def test_time_is_kept_and_a_stream_in_progress_is_cut_then(world):
-    world.time_s = 0.6
-    world.add(events=100, gap_s=0.1)
+def test_a_stream_in_progress_is_cut_at_its_deadline(gateway):
+    gateway.time_s = 0.6
+    gateway.add(events=100, gap_s=0.1)
     started = steady_s()
     with pytest.raises(http.client.IncompleteRead):
-        world.open().getresponse().read()
+        gateway.open().getresponse().read()
     assert steady_s() - started < 1.2
 
 
-def test_a_caller_goes_on_behind_the_event_that_it_has(world):
-    engine = world.add(events=6)
-    assert world.read(Last_Event_Id="4")[1] == events(5, 6)
+def test_a_caller_resumes_after_its_last_event(gateway):
+    engine = gateway.add(events=6)
+    assert gateway.read(Last_Event_Id="4")[1] == events(5, 6)
     assert engine.runs[0]["after"] == 4
 
 
-def test_the_rank_of_the_route_goes_along(world):
-    engine = world.add(events=1)
-    world.read(X_Request_Priority="0")
+def test_the_priority_of_the_route_is_passed_on(gateway):
+    engine = gateway.add(events=1)
+    gateway.read(X_Request_Priority="0")
     assert engine.runs[0]["rank"] == "3"
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -40,7 +40,7 @@
 CONFIGURATION = "src/threadramp/gateway/configuration.py"
 HEADERS = "src/threadramp/platform/headers.py"
 NAMES = "src/threadramp/lots/names.py"
-HEADS = "src/threadramp/edge/heads.py"
+CALLER_SERVER = "src/threadramp/edge/caller_server.py"
 REPORTS = "src/threadramp/duties/usage_reports.py"
 RIGHTS = "src/threadramp/fleet/rights.py"
 WEIGHTS = "src/threadramp/runner/weights.py"
@@ -265,7 +265,7 @@
     ),
     Removal.of_one(
         "an end told from a cut connection",
-        "is_cut_is_held_against_nobody",
+        "cut_connection_is_attributed_to_no_request",
         ENDPOINT_PROBE,
         "return EndpointState.LISTENS",
         "return EndpointState.ENDED",
@@ -286,7 +286,7 @@
     ),
     Removal.of_one(
         "ends behind a port proven by a birth",
-        "and_stay_so_once_others_are_answered",
+        "crashes_stay_confirmed_after_responses_to_others",
         "src/threadramp/wire/crashes.py",
         "return self.next_born > 0",
         "return False",
@@ -322,8 +322,8 @@
     Removal.of_one(
         "all values of a repeated header of credentials",
         "two_different_keys_in_one_head",
-        HEADS,
-        "if name in ONCE_ONLY and name in self:",
+        CALLER_SERVER,
+        "if name in SINGLE_VALUE_HEADERS and name in self:",
         "if False:",
     ),
     Removal.of_one(
@@ -422,7 +422,7 @@
         "skipping of duplicate responses",
         "may_run_once_gets_the_response_behind_a_duplicate",
         EXCHANGE,
-        "if not is_earlier or sock is None or",
+        "if not is_duplicate or sock is None or",
         "if True or",
     ),
     Removal.of_one(
