--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -46,20 +46,20 @@
 
     def __init__(
         self,
-        book: CrashBook,
+        tracker: CrashBook,
         clock: Clock,
         fleet_view: Picture,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
         count: Callable[[str, str], None] = lambda kind, label: None,
         probe: Callable[[str], EndpointState] = probe_endpoint,
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.clock = clock
         self.fleet_view = fleet_view
         self.claim = claim
         self.count = count
         self.probe = probe
-        self.resolver = CrashResolver(book, clock, is_replaced=self._is_replaced)
+        self.resolver = CrashResolver(tracker, clock, is_replaced=self._is_replaced)
         self.pending_breaks = PendingBreaks()
         self.recent_probes: dict[Start, tuple[ProbeResult, float]] = {}
         self.isolated: set[Start] = set()
@@ -70,9 +70,9 @@
 
         :param fingerprint: computes its fingerprint
         """
-        if self.book.is_empty:
+        if self.tracker.is_empty:
             return FREE
-        return self.book.ruling(fingerprint(), self.clock.time_of_day())
+        return self.tracker.ruling(fingerprint(), self.clock.time_of_day())
 
     def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Ruling:
         """Return the assessment of a request before it is sent; a refused one may get a trial.
@@ -85,7 +85,7 @@
         key = fingerprint()
         now = self.clock.time_of_day()
         if assessment.trial and self.claim(key, assessment.trial):
-            self.book.tried(key, assessment.trial, now)
+            self.tracker.tried(key, assessment.trial, now)
             self.count("crash", "trial")
             log_state(
                 "trial_of_refused",
@@ -95,7 +95,7 @@
                 crashes=assessment.crashes,
             )
             return Ruling(Verdict.APART, assessment.crashes, assessment.trial)
-        self.book.came_again(key, now)
+        self.tracker.came_again(key, now)
         self.count("crash", "refused")
         log_state(
             "refused_after_crashes",
@@ -113,7 +113,7 @@
 
         :returns: whether the endpoint has crashed, as far as is known now
         """
-        incarnation = self.book.current(endpoint.start)
+        incarnation = self.tracker.current(endpoint.start)
         other_open = broken.count_open() - broken.own_open
         with self.pending_breaks.probing(endpoint.start, broken):
             probe = self._probe(endpoint)
@@ -143,7 +143,9 @@
 
         :param listens: whether its port still accepts connections, so that the crash is unconfirmed
         """
-        assessment = self.book.crashed(fingerprint, incarnation, self.clock.time_of_day(), listens)
+        assessment = self.tracker.crashed(
+            fingerprint, incarnation, self.clock.time_of_day(), listens
+        )
         self.count("crash", "seen")
         log_state(
             "endpoint_ended",
@@ -158,13 +160,13 @@
     def record_response(self, fingerprint: Callable[[], bytes], incarnation: Start) -> None:
         """Record a response: the endpoint is alive, and the request ran without crashing it."""
         self.pending_breaks.record_response(incarnation)
-        if self.book.is_empty:
+        if self.tracker.is_empty:
             return
         now = self.clock.time_of_day()
-        if self.book.lives(self.book.current(incarnation), now):
+        if self.tracker.lives(self.tracker.current(incarnation), now):
             log_state("endpoint_alive", instance=incarnation.instance)
         key = fingerprint()
-        if self.book.ran_well(key, now):
+        if self.tracker.ran_well(key, now):
             self.count("crash", "acquitted")
             log_state("acquitted", fingerprint=shown(key), instance=incarnation.instance)
 
@@ -196,7 +198,7 @@
             probe.took_s,
             broken.reused,
             self.pending_breaks.others_still_active(endpoint.start, broken),
-            self.book.ended_before(self.book.current(endpoint.start), sent_at),
+            self.tracker.ended_before(self.tracker.current(endpoint.start), sent_at),
         )
 
     def _probe(self, endpoint: Endpoint) -> ProbeResult:
--- a/src/threadramp/edge/crash_resolver.py
+++ b/src/threadramp/edge/crash_resolver.py
@@ -31,13 +31,13 @@
 
     def __init__(
         self,
-        book: CrashBook,
+        tracker: CrashBook,
         clock: Clock,
         query_start_time: Callable[[str], int | None] = fetch_start_time,
         sleep: Callable[[float], None] = time.sleep,
         is_replaced: Callable[[Start, str], bool] = lambda incarnation, address: False,
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.clock = clock
         self.query_start_time = query_start_time
         self.sleep = sleep
@@ -71,9 +71,9 @@
         if resolution is Settlement.ENDED:
             for fingerprint, at in pending.items():
                 if start_time:
-                    self.book.proven(fingerprint, incarnation, at, start_time)
+                    self.tracker.proven(fingerprint, incarnation, at, start_time)
                 else:  # its id is not reused, so no response will retract this
-                    self.book.crashed(fingerprint, incarnation, at)
+                    self.tracker.crashed(fingerprint, incarnation, at)
             log_state(
                 "crash_confirmed",
                 instance=incarnation.instance,
@@ -81,7 +81,7 @@
                 next_born=start_time,
             )
         elif resolution is Settlement.LIVES:
-            self.book.lived_on(incarnation, self._retraction_time(pending), start_time)
+            self.tracker.lived_on(incarnation, self._retraction_time(pending), start_time)
             log_state("endpoint_alive", instance=incarnation.instance, born=start_time)
         else:
             log_state("crash_not_resolved", instance=incarnation.instance, born=incarnation.born)
--- a/src/threadramp/report/gateway_beliefs.py
+++ b/src/threadramp/report/gateway_beliefs.py
@@ -166,7 +166,7 @@
 
     def request(self, name: str) -> Iterable[Fact]:
         """Tell of a request that is suspected, by its fingerprint as it stands in logs."""
-        book = self.access.guard.book
+        book = self.access.guard.tracker
         found = book.find(name)
         now = self.clock.time_of_day()
         if found is None:
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -117,7 +117,7 @@
         one.engine.faults["hold_s"] = 0.2
     threading.Timer(0.1, lambda: [one.cut() for one in pool.standins]).start()
     assert pool.run("/calm", target_s=5.0).ending is Ending.ANSWERED
-    assert pool.guard.book.is_empty
+    assert pool.guard.tracker.is_empty
 
 
 def test_the_crash_of_a_leaving_endpoint_is_attributed_to_no_request(pool):
@@ -131,7 +131,7 @@
 
     threading.Timer(0.1, leave).start()
     pool.run("/calm", target_s=5.0)
-    assert pool.guard.book.is_empty
+    assert pool.guard.tracker.is_empty
 
 
 def test_a_request_open_during_a_crash_is_retried_and_cleared(pool):
@@ -222,7 +222,7 @@
 
 
 def test_no_request_is_assessed_while_none_is_suspect(pool):
-    pool.guard.book.ruling = None  # a call would fail
+    pool.guard.tracker.ruling = None  # a call would fail
     assert pool.run("/calm").ending is Ending.ANSWERED
 
 
--- a/tests/edge/test_proxied_crashes.py
+++ b/tests/edge/test_proxied_crashes.py
@@ -85,7 +85,9 @@
     for number in range(30):
         pool.run(f"/calm/{number}")
     assert pool.verdict() is Verdict.REFUSED
-    assert all(one.is_proven for one in pool.guard.book.suspects[_fingerprint("/crashes")].crashes)
+    assert all(
+        one.is_proven for one in pool.guard.tracker.suspects[_fingerprint("/crashes")].crashes
+    )
 
 
 def test_each_crash_of_one_endpoint_counts(pool):
@@ -135,7 +137,7 @@
     thread.join()
     wait_for(lambda: not any(one.is_down for one in pool.standins), "the last flap is over")
     wait_for(lambda: not pool.guard.resolver.pending, "all is settled", 3.0)
-    book = pool.guard.book
+    book = pool.guard.tracker
     assert not [one for one in book.suspects.values() if one.standing]
     assert {one.ending for one in run_many(pool, "/calm/0", 6)} == {Ending.ANSWERED}
 
@@ -155,7 +157,7 @@
     for one in pool.standins:
         one.most_open = None
     wait_for(lambda: not pool.guard.resolver.pending, "all is settled", 3.0)
-    assert not [one for one in pool.guard.book.suspects.values() if one.standing]
+    assert not [one for one in pool.guard.tracker.suspects.values() if one.standing]
 
 
 def test_cut_connections_are_attributed_to_no_request(pool):
@@ -163,7 +165,7 @@
         one.engine.faults["hold_s"] = 0.2
     threading.Timer(0.1, lambda: [one.cut() for one in pool.standins]).start()
     assert {one.ending for one in run_many(pool, "/calm", 6)} == {Ending.ANSWERED}
-    assert pool.guard.book.is_empty
+    assert pool.guard.tracker.is_empty
 
 
 def test_a_request_sent_while_an_endpoint_is_down_is_not_suspect(pool):
