--- a/src/threadramp/edge/attempt_loop.py
+++ b/src/threadramp/edge/attempt_loop.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from threadramp.edge.attempt_history import AttemptHistory
-from threadramp.edge.connection_breaks import ConnectionBreak
+from threadramp.edge.connection_breaks import BrokenExchange
 from threadramp.edge.crash_admission import CrashAdmission
 from threadramp.edge.crash_guard import CrashGuard
 from threadramp.edge.exchange import ExchangeError
 from threadramp.edge.job import Ending, Outcome, is_disconnected
 from threadramp.platform.headers import to_endpoint
-from threadramp.policy.connection_share import idle_share
-from threadramp.policy.crash_book import CrashBook, Ruling, Verdict
+from threadramp.policy.crash_tracker import Assessment, CrashTracker, SuspicionLevel
+from threadramp.policy.idle_connections import max_idle_connections
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     from threadramp.fleet.model import Endpoint, Start
     from threadramp.fleet.picture import Picture
     from threadramp.platform.headers import AnswerHead
-    from threadramp.policy.endpoint_choice import EndpointChoice
+    from threadramp.policy.endpoint_choice import EndpointSelector
     from threadramp.policy.retries import RetryBudget
 
 REJECTION_PAUSE_S = 0.03  # before endpoints that were full are tried again
@@ -47,7 +47,7 @@
         self,
         fleet_view: Picture,
         connection_pool: ConnectionPool,
-        choice: EndpointChoice,
+        choice: EndpointSelector,
         retry_budget: RetryBudget,
         clock: Clock,
         guard: CrashGuard | None = None,
@@ -59,19 +59,19 @@
         self.retry_budget = retry_budget
         self.clock = clock
         self.usage_counter = usage_counter
-        self.guard = guard or CrashGuard(CrashBook(), clock, fleet_view)
+        self.guard = guard or CrashGuard(CrashTracker(), clock, fleet_view)
 
     def drop_unlisted(self) -> None:
         """Drop connections and records of incarnations that are no longer listed."""
         incarnations = {one.start for one in self.fleet_view.belief.endpoints.values()}
         self.connection_pool.retain_only(incarnations)
-        self.choice.forget(incarnations)
+        self.choice.retain(incarnations)
 
     def release_connection(self, exchange: Exchange, response: EndpointResponse) -> None:
         """Return a connection to the pool, within this gateway's share of idle connections."""
         belief = self.fleet_view.belief
         pool = belief.pool(exchange.endpoint.pool)
-        max_idle = idle_share(pool.max_connections, len(belief.gateways()))
+        max_idle = max_idle_connections(pool.max_connections, len(belief.gateways()))
         self.connection_pool.release(exchange, response, self.clock.now(), max_idle)
 
 
@@ -90,7 +90,7 @@
         self.job = job
         self.now = access.clock.now
         self.history = AttemptHistory()
-        self.pool = access.choice.pool_for(job.route)
+        self.pool = access.choice.choose_pool(job.route)
         self.admission = CrashAdmission(access.guard, job)
 
     def run(self) -> Outcome:
@@ -98,9 +98,9 @@
         if self.is_caller_disconnected():
             return Outcome(Ending.CALLER_DISCONNECTED)
         admitted = self.admission.admit()
-        if admitted.verdict is Verdict.REFUSED:
-            return Outcome(Ending.NOT_RUN, retry_after_s=admitted.again_s)
-        self.access.retry_budget.first_attempt()
+        if admitted.level is SuspicionLevel.REFUSED:
+            return Outcome(Ending.NOT_RUN, retry_after_s=admitted.retry_after_s)
+        self.access.retry_budget.record_first_attempt()
         try:
             while True:
                 outcome = self._step()
@@ -110,7 +110,7 @@
             self.close_all()
             self.admission.release()
 
-    def assess(self) -> Ruling:
+    def assess(self) -> Assessment:
         """Return the current crash assessment of the request."""
         return self.admission.assess(has_run=bool(self.history.possibly_ran))
 
@@ -158,8 +158,8 @@
     def _stop_after_crashes(self) -> Outcome | None:
         """Return the outcome if too many endpoints crashed; none if the job may continue."""
         assessment = self.assess()
-        if assessment.verdict is Verdict.REFUSED or len(self.history.crashed) >= MAX_CRASHES:
-            return self.give_up(Ending.NOT_RUN, assessment.again_s)
+        if assessment.level is SuspicionLevel.REFUSED or len(self.history.crashed) >= MAX_CRASHES:
+            return self.give_up(Ending.NOT_RUN, assessment.retry_after_s)
         return None
 
     def _no_endpoint_left(self) -> Outcome:
@@ -189,12 +189,12 @@
         except ExchangeError as error:
             self.record_exchange_error(endpoint, error, ran=False)
             return
-        self.access.choice.began(endpoint)
+        self.access.choice.request_started(endpoint)
         headers = self.headers(left, endpoint.instance)
         try:
             exchange.send(self.job.method, self.job.target, headers, self.job.body)
         except ExchangeError as error:
-            self.access.choice.finished(endpoint)
+            self.access.choice.request_finished(endpoint)
             self.record_exchange_error(endpoint, error, ran=not exchange.reused)
             return
         self.history.open_exchanges.append(exchange)
@@ -216,7 +216,7 @@
     def record_closed(self, exchange: Exchange) -> None:
         """Remove an exchange that is finished."""
         self.history.open_exchanges.remove(exchange)
-        self.access.choice.finished(exchange.endpoint)
+        self.access.choice.request_finished(exchange.endpoint)
 
     def close_all(self) -> None:
         """Close the open exchanges; most endpoints then cancel the request."""
@@ -254,16 +254,16 @@
         if error.stale:
             self._record_stale_connection(endpoint, error, ran)
         else:
-            pause = self.access.choice.failed(endpoint, self.now())
+            pause = self.access.choice.record_failure(endpoint, self.now())
             self.record_failure(endpoint, error, ran, pause)
 
     def _has_crashed(self, endpoint: Endpoint, error: ExchangeError) -> bool:
         """Return whether an endpoint that broke its connection crashed during this request."""
-        broken = ConnectionBreak(
+        broken = BrokenExchange(
             self.now() - self.history.sent_at[endpoint.start],
             error.stale,
             sum(one.endpoint.start == endpoint.start for one in self.history.open_exchanges),
-            lambda: self.access.choice.open_at(endpoint),
+            lambda: self.access.choice.open_requests(endpoint),
         )
         if not self.access.guard.record_broken_connection(self.job, endpoint, broken):
             return False
--- a/src/threadramp/edge/connection_breaks.py
+++ b/src/threadramp/edge/connection_breaks.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class ConnectionBreak:
+class BrokenExchange:
     """A broken connection as one request saw it.
 
     :param sent_ago_s: seconds from sending the request until the break
@@ -77,7 +77,7 @@
         self.lock = Lock()
 
     @contextmanager
-    def probing(self, incarnation: Start, broken: ConnectionBreak) -> Iterator[None]:
+    def probing(self, incarnation: Start, broken: BrokenExchange) -> Iterator[None]:
         """Count a request as broken while its endpoint is probed."""
         with self.lock:
             self.pending[incarnation] += 1
@@ -93,7 +93,7 @@
             with self.lock:
                 self.responded.add(incarnation)
 
-    def others_still_active(self, incarnation: Start, broken: ConnectionBreak) -> bool:
+    def others_still_active(self, incarnation: Start, broken: BrokenExchange) -> bool:
         """Return whether other requests stay open or got a response there, after a short wait."""
         deadline = steady_s() + OTHERS_WAIT_S
         while broken.count_open() > self.pending_open[incarnation]:
@@ -102,7 +102,7 @@
             time.sleep(OTHERS_POLL_S)
         return incarnation in self.responded
 
-    def _finish_probe(self, incarnation: Start, broken: ConnectionBreak) -> None:
+    def _finish_probe(self, incarnation: Start, broken: BrokenExchange) -> None:
         with self.lock:
             self.pending[incarnation] -= 1
             self.pending_open[incarnation] -= broken.own_open
@@ -111,4 +111,4 @@
                 self.responded.discard(incarnation)
 
 
-__all__ = ["ConnectionBreak", "PendingBreaks", "ProbeResult", "timed_probe"]
+__all__ = ["BrokenExchange", "PendingBreaks", "ProbeResult", "timed_probe"]
--- a/src/threadramp/edge/crash_admission.py
+++ b/src/threadramp/edge/crash_admission.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.policy.crash_book import FREE, Ruling, Verdict
+from threadramp.policy.crash_tracker import NO_SUSPICION, Assessment, SuspicionLevel
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Set
@@ -20,7 +20,7 @@
     def __init__(self, guard: CrashGuard, job: Job) -> None:
         self.guard = guard
         self.job = job
-        self.admitted = FREE
+        self.admitted = NO_SUSPICION
         self.reserved: Start | None = None
         self.must_wait = False
 
@@ -28,12 +28,12 @@
         """Return the fingerprint of the request, which does not depend on its id."""
         return self.job.fingerprint
 
-    def admit(self) -> Ruling:
+    def admit(self) -> Assessment:
         """Return the assessment before the first attempt; a refused request may get a trial."""
         self.admitted = self.guard.admit(self.job.request_id, self.fingerprint)
         return self.admitted
 
-    def assess(self, has_run: bool) -> Ruling:
+    def assess(self, has_run: bool) -> Assessment:
         """Return the current assessment; endpoints may have crashed since the admission.
 
         :param has_run: whether it was started since it was admitted; a trial is started once
@@ -47,7 +47,7 @@
         self.guard.record_response(self.fingerprint, incarnation)
 
     def choose(
-        self, pick: Callable[[Set[Start]], Endpoint | None], assessment: Ruling, is_last: bool
+        self, pick: Callable[[Set[Start]], Endpoint | None], assessment: Assessment, is_last: bool
     ) -> Endpoint | None:
         """Return the endpoint for the request, none if it has to wait for other suspects.
 
@@ -59,7 +59,7 @@
         """
         self.release()
         self.must_wait = False
-        if assessment.verdict is not Verdict.APART or is_last:
+        if assessment.level is not SuspicionLevel.ISOLATED or is_last:
             return pick(frozenset())
         excluded = self.guard.isolated_endpoints()
         while (chosen := pick(excluded)) is not None:
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -18,20 +18,20 @@
 from threadramp.edge.connection_breaks import PendingBreaks, ProbeResult, timed_probe
 from threadramp.edge.crash_resolver import CrashResolver
 from threadramp.edge.endpoint_probe import EndpointState, probe_endpoint
-from threadramp.policy.crash_book import FREE, Ruling, Verdict
-from threadramp.policy.fingerprint import shown
-from threadramp.policy.hidden_ends import Break, may_have_ended
+from threadramp.policy.crash_tracker import NO_SUSPICION, Assessment, SuspicionLevel
+from threadramp.policy.fingerprint import short_fingerprint
+from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_crashed
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.edge.connection_breaks import ConnectionBreak
+    from threadramp.edge.connection_breaks import BrokenExchange
     from threadramp.edge.job import Job
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Endpoint, Start
     from threadramp.fleet.picture import Picture
-    from threadramp.policy.crash_book import CrashBook
+    from threadramp.policy.crash_tracker import CrashTracker
 
 PROBE_REUSE_S = 0.2  # all requests at an endpoint break at once and share one probe
 
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        tracker: CrashBook,
+        tracker: CrashTracker,
         clock: Clock,
         fleet_view: Picture,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
@@ -65,64 +65,64 @@
         self.isolated: set[Start] = set()
         self.lock = threading.Lock()
 
-    def assess(self, fingerprint: Callable[[], bytes]) -> Ruling:
+    def assess(self, fingerprint: Callable[[], bytes]) -> Assessment:
         """Return the assessment of a request.
 
         :param fingerprint: computes its fingerprint
         """
         if self.tracker.is_empty:
-            return FREE
-        return self.tracker.ruling(fingerprint(), self.clock.time_of_day())
+            return NO_SUSPICION
+        return self.tracker.assess(fingerprint(), self.clock.time_of_day())
 
-    def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Ruling:
+    def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Assessment:
         """Return the assessment of a request before it is sent; a refused one may get a trial.
 
         :param name: the id of the request or of the sample
         """
         assessment = self.assess(fingerprint)
-        if assessment.verdict is not Verdict.REFUSED:
+        if assessment.level is not SuspicionLevel.REFUSED:
             return assessment
         key = fingerprint()
         now = self.clock.time_of_day()
         if assessment.trial and self.claim(key, assessment.trial):
-            self.tracker.tried(key, assessment.trial, now)
+            self.tracker.record_trial(key, assessment.trial, now)
             self.count("crash", "trial")
             log_state(
                 "trial_of_refused",
                 request=name,
-                fingerprint=shown(key),
+                fingerprint=short_fingerprint(key),
                 trial=assessment.trial,
                 crashes=assessment.crashes,
             )
-            return Ruling(Verdict.APART, assessment.crashes, assessment.trial)
-        self.tracker.came_again(key, now)
+            return Assessment(SuspicionLevel.ISOLATED, assessment.crashes, assessment.trial)
+        self.tracker.record_repeat(key, now)
         self.count("crash", "refused")
         log_state(
             "refused_after_crashes",
             request=name,
-            fingerprint=shown(key),
+            fingerprint=short_fingerprint(key),
             crashes=assessment.crashes,
-            again_s=round(assessment.again_s, 1),
+            again_s=round(assessment.retry_after_s, 1),
         )
         return assessment
 
     def record_broken_connection(
-        self, job: Job, endpoint: Endpoint, broken: ConnectionBreak
+        self, job: Job, endpoint: Endpoint, broken: BrokenExchange
     ) -> bool:
         """Record that an endpoint broke a connection before its response was complete.
 
         :returns: whether the endpoint has crashed, as far as is known now
         """
-        incarnation = self.tracker.current(endpoint.start)
+        incarnation = self.tracker.current_incarnation(endpoint.start)
         other_open = broken.count_open() - broken.own_open
         with self.pending_breaks.probing(endpoint.start, broken):
             probe = self._probe(endpoint)
             listens = probe.state is EndpointState.BREAKS
-            attributed = listens and may_have_ended(self._describe_break(endpoint, broken, probe))
+            attributed = listens and may_have_crashed(self._describe_break(endpoint, broken, probe))
         log_state(
             "connection_broken",
             request=job.request_id,
-            fingerprint=shown(job.fingerprint),
+            fingerprint=short_fingerprint(job.fingerprint),
             instance=endpoint.instance,
             endpoint=probe.state.value,
             other_open=other_open,
@@ -143,17 +143,17 @@
 
         :param listens: whether its port still accepts connections, so that the crash is unconfirmed
         """
-        assessment = self.tracker.crashed(
+        assessment = self.tracker.record_crash(
             fingerprint, incarnation, self.clock.time_of_day(), listens
         )
         self.count("crash", "seen")
         log_state(
             "endpoint_ended",
             request=name,
-            fingerprint=shown(fingerprint),
+            fingerprint=short_fingerprint(fingerprint),
             instance=incarnation.instance,
             crashes=assessment.crashes,
-            verdict=assessment.verdict.value,
+            verdict=assessment.level.value,
             listens=listens,
         )
 
@@ -163,12 +163,14 @@
         if self.tracker.is_empty:
             return
         now = self.clock.time_of_day()
-        if self.tracker.lives(self.tracker.current(incarnation), now):
+        if self.tracker.record_answer(self.tracker.current_incarnation(incarnation), now):
             log_state("endpoint_alive", instance=incarnation.instance)
         key = fingerprint()
-        if self.tracker.ran_well(key, now):
+        if self.tracker.record_success(key, now):
             self.count("crash", "acquitted")
-            log_state("acquitted", fingerprint=shown(key), instance=incarnation.instance)
+            log_state(
+                "acquitted", fingerprint=short_fingerprint(key), instance=incarnation.instance
+            )
 
     def isolated_endpoints(self) -> set[Start]:
         """Return the endpoints that are reserved for one isolated request."""
@@ -189,16 +191,18 @@
             self.isolated.discard(incarnation)
 
     def _describe_break(
-        self, endpoint: Endpoint, broken: ConnectionBreak, probe: ProbeResult
-    ) -> Break:
+        self, endpoint: Endpoint, broken: BrokenExchange, probe: ProbeResult
+    ) -> ConnectionBreak:
         """Describe the break at an endpoint that also breaks new connections."""
         sent_at = self.clock.time_of_day() - broken.sent_ago_s - probe.took_s
-        return Break(
+        return ConnectionBreak(
             broken.sent_ago_s,
             probe.took_s,
             broken.reused,
             self.pending_breaks.others_still_active(endpoint.start, broken),
-            self.tracker.ended_before(self.tracker.current(endpoint.start), sent_at),
+            self.tracker.is_reported_crashed(
+                self.tracker.current_incarnation(endpoint.start), sent_at
+            ),
         )
 
     def _probe(self, endpoint: Endpoint) -> ProbeResult:
--- a/src/threadramp/edge/crash_resolver.py
+++ b/src/threadramp/edge/crash_resolver.py
@@ -7,7 +7,12 @@
 from typing import TYPE_CHECKING
 
 from threadramp.edge.endpoint_probe import fetch_start_time
-from threadramp.policy.hidden_ends import ENTRY_DELAY_S, Settlement, looks, settlement
+from threadramp.policy.proxied_crashes import (
+    ENTRY_DELAY_S,
+    CrashResolution,
+    probe_delays,
+    resolve_crash,
+)
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -15,7 +20,7 @@
 
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import Start
-    from threadramp.policy.crash_book import CrashBook
+    from threadramp.policy.crash_tracker import CrashTracker
 
 MAX_PENDING = 64  # endpoints at once, each with a thread
 MIN_STEP_S = 0.001
@@ -31,7 +36,7 @@
 
     def __init__(
         self,
-        tracker: CrashBook,
+        tracker: CrashTracker,
         clock: Clock,
         query_start_time: Callable[[str], int | None] = fetch_start_time,
         sleep: Callable[[float], None] = time.sleep,
@@ -68,20 +73,20 @@
         finally:
             with self.lock:
                 pending = self.pending.pop(incarnation)
-        if resolution is Settlement.ENDED:
+        if resolution is CrashResolution.CRASHED:
             for fingerprint, at in pending.items():
                 if start_time:
-                    self.tracker.proven(fingerprint, incarnation, at, start_time)
+                    self.tracker.confirm_crash(fingerprint, incarnation, at, start_time)
                 else:  # its id is not reused, so no response will retract this
-                    self.tracker.crashed(fingerprint, incarnation, at)
+                    self.tracker.record_crash(fingerprint, incarnation, at)
             log_state(
                 "crash_confirmed",
                 instance=incarnation.instance,
                 born=incarnation.born,
                 next_born=start_time,
             )
-        elif resolution is Settlement.LIVES:
-            self.tracker.lived_on(incarnation, self._retraction_time(pending), start_time)
+        elif resolution is CrashResolution.ALIVE:
+            self.tracker.retract_crash(incarnation, self._retraction_time(pending), start_time)
             log_state("endpoint_alive", instance=incarnation.instance, born=start_time)
         else:
             log_state("crash_not_resolved", instance=incarnation.instance, born=incarnation.born)
@@ -90,23 +95,25 @@
         """Return the current time, or one after all pending crashes if the clock was set back."""
         return max(self.clock.time_of_day(), max(pending.values()) + MIN_STEP_S)
 
-    def _probe_until_resolved(self, incarnation: Start, address: str) -> tuple[Settlement, int]:
+    def _probe_until_resolved(
+        self, incarnation: Start, address: str
+    ) -> tuple[CrashResolution, int]:
         broke_at = self.clock.time_of_day()
         responding_s = None  # seconds since its first response without a start time
-        for pause_s in looks():
+        for pause_s in probe_delays():
             self.sleep(pause_s)
             start_time = self.query_start_time(address)
             if self.is_replaced(incarnation, address):
-                return Settlement.ENDED, start_time or 0
+                return CrashResolution.CRASHED, start_time or 0
             if start_time == 0 or (start_time is None and responding_s is not None):
                 responding_s = 0.0 if responding_s is None else responding_s + pause_s
                 if responding_s >= ENTRY_DELAY_S:
-                    return Settlement.LIVES, 0
+                    return CrashResolution.ALIVE, 0
                 continue
-            resolution = settlement(incarnation.born, start_time, broke_at)
-            if resolution is not Settlement.OPEN:
+            resolution = resolve_crash(incarnation.born, start_time, broke_at)
+            if resolution is not CrashResolution.PENDING:
                 return resolution, start_time or 0
-        return Settlement.OPEN, 0
+        return CrashResolution.PENDING, 0
 
 
 __all__ = ["CrashResolver"]
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -9,8 +9,8 @@
 from threadramp.edge.exchange import ExchangeError
 from threadramp.edge.job import Ending, Outcome, is_disconnected
 from threadramp.platform.headers import read_answer
-from threadramp.policy.crash_book import Verdict
-from threadramp.policy.endpoint_choice import SECOND_AFTER
+from threadramp.policy.crash_tracker import SuspicionLevel
+from threadramp.policy.endpoint_choice import HEDGE_AFTER_SHARE
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
     def send(self, endpoint: Endpoint, force_new: bool = False) -> None:
         """Send to an endpoint, and set the time for a hedged attempt."""
         super().send(endpoint, force_new)
-        self.hedge_at = self.now() + self.job.route.target_s * SECOND_AFTER
+        self.hedge_at = self.now() + self.job.route.target_s * HEDGE_AFTER_SHARE
 
     def await_response(self) -> Outcome | None:
         """Wait for a response, a disconnect of the caller or the time of a hedged attempt."""
@@ -87,7 +87,7 @@
         is_late = len(history.open_exchanges) == 1 and self.now() >= self.hedge_at
         if not is_late or not self.job.route.may_repeat:
             return
-        if self.assess().verdict is not Verdict.FREE:
+        if self.assess().level is not SuspicionLevel.NONE:
             return  # it might crash a second endpoint as well
         self.hedge_at = self.job.deadline  # at most one hedged attempt
         chosen = self._choose_hedge_endpoint(history.open_exchanges[0])
@@ -162,7 +162,7 @@
         unsigned = 200 <= head.status < 300 and not head.signature
         if unsigned or head.status >= 500:
             return self._handle_failed_response(endpoint, response, unsigned)
-        self.access.choice.answered(endpoint, head.load, self.now())
+        self.access.choice.record_success(endpoint, head.load, self.now())
         return Outcome(Ending.ANSWERED, response)
 
     def _handle_failed_response(
@@ -173,7 +173,9 @@
             return None
         self.history.last_error_response = response
         error = ExchangeError(True, f"status {response.head.status}")
-        self.record_failure(endpoint, error, True, self.access.choice.erred(endpoint, self.now()))
+        self.record_failure(
+            endpoint, error, True, self.access.choice.record_server_error(endpoint, self.now())
+        )
         return None if self.job.retry_errors else Outcome(Ending.ANSWERED, response)
 
 
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -28,7 +28,7 @@
     read_lot,
     results_body,
 )
-from threadramp.policy.callers import Caller, who_calls
+from threadramp.policy.callers import Caller, identify_caller
 from threadramp.report.log import log_state
 
 if TYPE_CHECKING:
@@ -121,9 +121,9 @@
         if body is None:
             return
         if route.kind is RouteKind.SAMPLES:
-            self._submit_lot(request, identity.ranked(route), body, identity)
+            self._submit_lot(request, identity.with_priority(route), body, identity)
         else:
-            self._forward(request, identity.ranked(route), body, started, identity)
+            self._forward(request, identity.with_priority(route), body, started, identity)
 
     def _authenticate(
         self, request: CallerRequest, configuration: Configuration, public: bool
@@ -132,7 +132,7 @@
 
         :param public: whether no key is needed
         """
-        result = who_calls(configuration.organisations, caller_key(request.headers), public)
+        result = identify_caller(configuration.organisations, caller_key(request.headers), public)
         if isinstance(result, Caller):
             return result if self._check_key_age(request, result) else None
         log_state(
--- a/src/threadramp/edge/streaming.py
+++ b/src/threadramp/edge/streaming.py
@@ -153,7 +153,7 @@
         self.stream.relay(exchange, response, self._read_timeout_s)
         self.admission.record_response(exchange.endpoint.start)
         self.access.release_connection(exchange, streamed_response(response))
-        self.access.choice.answered(exchange.endpoint, head.load, self.now())
+        self.access.choice.record_success(exchange.endpoint, head.load, self.now())
         return Outcome(Ending.STREAMED)
 
     def _handle_other_response(
@@ -166,7 +166,7 @@
         if 200 <= head.status < 300 and not head.signature:
             raise StreamBrokenError(exchange.endpoint.instance, "no signature")
         if head.status >= 500:
-            pause = self.access.choice.erred(exchange.endpoint, self.now())
+            pause = self.access.choice.record_server_error(exchange.endpoint, self.now())
             reason = ExchangeError(True, f"status {head.status}")
             self.record_failure(exchange.endpoint, reason, True, pause)
             self.history.last_error_response = complete_response
--- a/tests/edge/test_connection_breaks.py
+++ b/tests/edge/test_connection_breaks.py
@@ -7,7 +7,7 @@
 
 from threadramp.edge.connection_breaks import (
     OTHERS_WAIT_S,
-    ConnectionBreak,
+    BrokenExchange,
     PendingBreaks,
     timed_probe,
 )
@@ -17,8 +17,8 @@
 START = Start("i-0", 1)
 
 
-def make_break(count_open, own_open: int = 0) -> ConnectionBreak:
-    return ConnectionBreak(0.1, False, own_open, count_open)
+def make_break(count_open, own_open: int = 0) -> BrokenExchange:
+    return BrokenExchange(0.1, False, own_open, count_open)
 
 
 def others_active(count_open, own_open: int = 0) -> bool:
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -20,8 +20,8 @@
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind, Start
 from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.crashing import CrashingEndpoint
-from threadramp.policy.crash_book import TRIALS_AFTER_S, Verdict
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.crash_tracker import TRIAL_DELAYS_S, SuspicionLevel
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.fingerprint import fingerprint
 from threadramp.policy.retries import RetryBudget
 
@@ -36,7 +36,7 @@
         self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(ENDPOINT_COUNT)]
         self.list_all()
         self.forwarder = Forwarder(
-            self.picture, ConnectionPool(), EndpointChoice(Random(2)), RetryBudget(), Clock()
+            self.picture, ConnectionPool(), EndpointSelector(Random(2)), RetryBudget(), Clock()
         )
         self.guard = self.forwarder.guard
         self.guard.claim = lambda fingerprint, trial: True
@@ -57,8 +57,8 @@
     def crashes(self) -> int:
         return sum(len(one.crashed_at) for one in self.standins)
 
-    def verdict(self, target="/crashes") -> Verdict:
-        return self.guard.assess(lambda: _fingerprint(target)).verdict
+    def verdict(self, target="/crashes") -> SuspicionLevel:
+        return self.guard.assess(lambda: _fingerprint(target)).level
 
 
 def _fingerprint(target: str) -> bytes:
@@ -86,7 +86,7 @@
     outcome = pool.run()
     assert (outcome.ending, pool.crashes) == (Ending.NOT_RUN, 3)
     assert steady_s() - started < 0.05
-    assert 0 < outcome.retry_after_s <= TRIALS_AFTER_S[0]
+    assert 0 < outcome.retry_after_s <= TRIAL_DELAYS_S[0]
 
 
 def test_no_hedged_attempt_is_made_after_a_crash(pool):
@@ -109,7 +109,7 @@
     assert pool.forwarder.connection_pool.idle
     pool.run()
     assert pool.crashes == 2
-    assert pool.verdict() is Verdict.APART
+    assert pool.verdict() is SuspicionLevel.ISOLATED
 
 
 def test_a_cut_connection_is_attributed_to_no_request(pool):
@@ -150,7 +150,7 @@
     for thread in threads:
         thread.join()
     assert sum(one.ending is Ending.ANSWERED for one in found) >= 11
-    answered = [n for n in range(12) if pool.verdict(f"/calm/{n}") is Verdict.FREE]
+    answered = [n for n in range(12) if pool.verdict(f"/calm/{n}") is SuspicionLevel.NONE]
     assert len(answered) >= 11
 
 
@@ -158,20 +158,20 @@
     pool.run()
     pool.run()
     clock = pool.guard.clock
-    pool.guard.clock = LaterClock(clock, TRIALS_AFTER_S[0])
+    pool.guard.clock = LaterClock(clock, TRIAL_DELAYS_S[0])
     pool.run()
-    assert (pool.crashes, pool.verdict()) == (4, Verdict.REFUSED)
+    assert (pool.crashes, pool.verdict()) == (4, SuspicionLevel.REFUSED)
     for one in pool.standins:
         one.mended = True
-    pool.guard.clock = LaterClock(clock, sum(TRIALS_AFTER_S) + 1.0)
+    pool.guard.clock = LaterClock(clock, sum(TRIAL_DELAYS_S) + 1.0)
     assert pool.run().ending is Ending.ANSWERED
-    assert pool.verdict() is Verdict.FREE
+    assert pool.verdict() is SuspicionLevel.NONE
 
 
 def test_a_trial_is_started_once_even_if_its_connection_is_cut(pool):
     pool.run()
     pool.run()
-    pool.guard.clock = LaterClock(pool.guard.clock, TRIALS_AFTER_S[0])
+    pool.guard.clock = LaterClock(pool.guard.clock, TRIAL_DELAYS_S[0])
     for one in pool.standins:
         one.crash = one.cut  # it stays alive
     begun = sum(len(one.begun) for one in pool.standins)
@@ -192,19 +192,19 @@
         one.engine.faults["hold_s"] = 0.0
     for one in pool.standins[:2]:
         pool.guard.record_crash("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
-    assert pool.verdict("/calm") is Verdict.APART
+    assert pool.verdict("/calm") is SuspicionLevel.ISOLATED
     for one in pool.standins:
         assert pool.guard.isolate(Start(one.instance))
     assert pool.run("/calm").ending is Ending.ANSWERED
     assert pauses == [REJECTION_PAUSE_S] * MAX_REJECTION_ROUNDS
-    assert pool.verdict("/calm") is Verdict.FREE
+    assert pool.verdict("/calm") is SuspicionLevel.NONE
 
 
 def test_a_refused_request_whose_trial_another_box_claimed_is_not_sent(pool):
     pool.run()
     pool.run()
     pool.guard.claim = lambda fingerprint, trial: False
-    pool.guard.clock = LaterClock(pool.guard.clock, TRIALS_AFTER_S[0])
+    pool.guard.clock = LaterClock(pool.guard.clock, TRIAL_DELAYS_S[0])
     begun = sum(len(one.begun) for one in pool.standins)
     assert pool.run().ending is Ending.NOT_RUN
     assert sum(len(one.begun) for one in pool.standins) == begun
@@ -222,7 +222,7 @@
 
 
 def test_no_request_is_assessed_while_none_is_suspect(pool):
-    pool.guard.tracker.ruling = None  # a call would fail
+    pool.guard.tracker.assess = None  # a call would fail
     assert pool.run("/calm").ending is Ending.ANSWERED
 
 
--- a/tests/edge/test_crash_resolver.py
+++ b/tests/edge/test_crash_resolver.py
@@ -8,7 +8,7 @@
 
 from threadramp.edge.crash_resolver import MAX_PENDING, CrashResolver
 from threadramp.fleet.model import Start
-from threadramp.policy.crash_book import CrashBook, Verdict
+from threadramp.policy.crash_tracker import CrashTracker, SuspicionLevel
 
 START_TIME_MS = 1_700_000_000_000
 ONE = b"one-request-0000"
@@ -38,13 +38,13 @@
 def resolve(clock):
     """Attribute one crash to two requests, resolve it and return the result."""
 
-    def made(*answers: int | None, pace: float = 1.0) -> tuple[CrashBook, FakeEndpoint]:
-        book, endpoint = CrashBook(), FakeEndpoint(*answers)
+    def made(*answers: int | None, pace: float = 1.0) -> tuple[CrashTracker, FakeEndpoint]:
+        book, endpoint = CrashTracker(), FakeEndpoint(*answers)
         endpoint.pace = pace
         endpoint.clock = clock
         resolver = CrashResolver(book, clock, endpoint.query_start_time, endpoint.sleep)
         for fingerprint in (ONE, OTHER):
-            book.crashed(fingerprint, START, clock.time_of_day(), listens=True)
+            book.record_crash(fingerprint, START, clock.time_of_day(), listens=True)
         resolver.pending[START] = {ONE: clock.time_of_day(), OTHER: clock.time_of_day()}
         resolver._resolve(START, "127.0.0.1:1")
         assert not resolver.pending
@@ -56,7 +56,7 @@
 def test_another_start_time_confirms_the_crash_for_all_requests(resolve, clock):
     book, endpoint = resolve(None, None, START_TIME_MS + 9)
     for fingerprint in (ONE, OTHER):
-        assert book.ruling(fingerprint, clock.time_of_day()).verdict is Verdict.SUSPECTED
+        assert book.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.SUSPECTED
     assert book.suspects[ONE].crashes[0].is_proven
     assert len(endpoint.pauses) == 3
 
@@ -67,12 +67,12 @@
     """Also if the time of day is set back meanwhile."""
     book, _ = resolve(None, start_time, pace=pace)
     for fingerprint in (ONE, OTHER):
-        assert book.ruling(fingerprint, clock.time_of_day()).verdict is Verdict.FREE
+        assert book.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.NONE
 
 
 def test_a_replaced_incarnation_has_crashed_even_without_a_start_time(clock):
     """The next incarnation, under another id, was taken for the previous one being alive."""
-    book, endpoint = CrashBook(), FakeEndpoint(0, 0, 0)
+    book, endpoint = CrashTracker(), FakeEndpoint(0, 0, 0)
     endpoint.clock = clock
     start = Start("i-0")
     replaced_at = clock.now() + 1.0
@@ -83,13 +83,13 @@
         endpoint.sleep,
         lambda one, address: clock.now() > replaced_at,
     )
-    book.crashed(ONE, start, clock.time_of_day(), listens=True)
+    book.record_crash(ONE, start, clock.time_of_day(), listens=True)
     resolver.pending[start] = {ONE: clock.time_of_day()}
     resolver._resolve(start, "127.0.0.1:1")
     for seconds in (0.0, 60.0):
         clock.at += seconds
-        book.lives(Start("i-1"), clock.time_of_day())
-        assert book.ruling(ONE, clock.time_of_day()).crashes == 1
+        book.record_answer(Start("i-1"), clock.time_of_day())
+        assert book.assess(ONE, clock.time_of_day()).crashes == 1
 
 
 def test_a_late_start_time_still_confirms_the_crash(resolve, clock):
@@ -100,7 +100,7 @@
 
 def test_an_endpoint_that_never_responds_is_given_up(resolve, clock):
     book, endpoint = resolve()
-    assert book.ruling(ONE, clock.time_of_day()).crashes == 1
+    assert book.assess(ONE, clock.time_of_day()).crashes == 1
     assert len(endpoint.pauses) <= 60
 
 
@@ -111,7 +111,7 @@
         seen.append(address)
         return START_TIME_MS + 1
 
-    book = CrashBook()
+    book = CrashTracker()
     resolver = CrashResolver(book, clock, query_start_time, lambda seconds: go_on.wait(5.0))
     for fingerprint in (ONE, OTHER):
         resolver.resolve(START, "127.0.0.1:1", fingerprint)
@@ -125,7 +125,9 @@
 
 def test_the_number_of_endpoints_queried_at_once_is_bounded(clock):
     go_on = threading.Event()
-    resolver = CrashResolver(CrashBook(), clock, lambda address: 0, lambda seconds: go_on.wait(5.0))
+    resolver = CrashResolver(
+        CrashTracker(), clock, lambda address: 0, lambda seconds: go_on.wait(5.0)
+    )
     for number in range(MAX_PENDING + 9):
         resolver.resolve(Start(f"i-{number}", START_TIME_MS), "127.0.0.1:1", ONE)
     assert len(resolver.pending) == MAX_PENDING
@@ -137,6 +139,6 @@
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(threading.Thread, "start", refuse_to_start)
-    resolver = CrashResolver(CrashBook(), clock)
+    resolver = CrashResolver(CrashTracker(), clock)
     resolver.resolve(START, "127.0.0.1:1", ONE)
     assert not resolver.pending
--- a/tests/edge/test_forward.py
+++ b/tests/edge/test_forward.py
@@ -16,7 +16,7 @@
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.endpoint import PlatformEngine
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 
@@ -30,7 +30,7 @@
         self.connections = ConnectionPool()
         self.standins: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
-        self.choice = EndpointChoice(Random(1))
+        self.choice = EndpointSelector(Random(1))
         self.forwarder = Forwarder(
             self.fleet_view, self.connections, self.choice, RetryBudget(), Clock()
         )
@@ -214,7 +214,7 @@
     pool.add(fail=1)
     for _ in range(4):
         pool.run()
-    pool.choice.failed(pool.endpoints["i-0"], steady_s())
+    pool.choice.record_failure(pool.endpoints["i-0"], steady_s())
     restart_endpoint(pool, 2000)
     pool.forwarder.drop_unlisted()
     assert not pool.connections.idle
--- a/tests/edge/test_mixed_responses.py
+++ b/tests/edge/test_mixed_responses.py
@@ -15,7 +15,7 @@
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
 from threadramp.fleet.picture import Belief, Picture
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 BODY = b"whole-" * 50
@@ -65,7 +65,7 @@
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
     connections = ConnectionPool()
-    forwarder = Forwarder(picture, connections, EndpointChoice(Random(1)), RetryBudget(), Clock())
+    forwarder = Forwarder(picture, connections, EndpointSelector(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     try:
         for request_id in ("r1", "r2"):
@@ -100,7 +100,7 @@
     picture = Picture()
     picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
     forwarder = Forwarder(
-        picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+        picture, ConnectionPool(), EndpointSelector(Random(1)), RetryBudget(), Clock()
     )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
--- a/tests/edge/test_proxied_crashes.py
+++ b/tests/edge/test_proxied_crashes.py
@@ -17,7 +17,7 @@
 from threadramp.fleet.model import Endpoint
 from threadramp.fleet.picture import Belief
 from threadramp.platform.standins.crashing import CrashingEndpoint, FrontProxy, WhileDown
-from threadramp.policy.crash_book import Verdict
+from threadramp.policy.crash_tracker import SuspicionLevel
 
 ENDPOINT_COUNT = 6
 DOWN_S = 0.5
@@ -74,7 +74,7 @@
 def test_three_crashes_are_attributed_before_the_endpoints_are_back(pool):
     pool.run()
     pool.run()
-    assert (pool.crashes, pool.verdict()) == (3, Verdict.REFUSED)
+    assert (pool.crashes, pool.verdict()) == (3, SuspicionLevel.REFUSED)
     assert pool.run().ending is Ending.NOT_RUN
 
 
@@ -84,7 +84,7 @@
     wait_for(lambda: not pool.guard.resolver.pending, "all is settled", 3.0)
     for number in range(30):
         pool.run(f"/calm/{number}")
-    assert pool.verdict() is Verdict.REFUSED
+    assert pool.verdict() is SuspicionLevel.REFUSED
     assert all(
         one.is_proven for one in pool.guard.tracker.suspects[_fingerprint("/crashes")].crashes
     )
@@ -108,7 +108,7 @@
     pool.standins[0].front = FrontProxy(WhileDown.REFUSES)
     for _ in range(3):
         pool.run(attempts=1)
-        assert (pool.crashes, pool.verdict()) == (1, Verdict.SUSPECTED)
+        assert (pool.crashes, pool.verdict()) == (1, SuspicionLevel.SUSPECTED)
 
 
 def test_a_crash_on_a_reused_connection_is_not_a_stale_connection(pool):
@@ -116,7 +116,7 @@
         pool.run("/calm")
     assert pool.forwarder.connection_pool.idle
     pool.run()
-    assert (pool.crashes, pool.verdict()) == (2, Verdict.APART)
+    assert (pool.crashes, pool.verdict()) == (2, SuspicionLevel.ISOLATED)
 
 
 def test_links_that_flap_convict_nobody(pool):
@@ -153,7 +153,7 @@
         one.engine.faults["hold_s"] = 0.2
     run_many(pool, "/calm", 24)
     verdicts = [pool.verdict(f"/calm/{number}") for number in range(24)]
-    assert Verdict.REFUSED not in verdicts
+    assert SuspicionLevel.REFUSED not in verdicts
     for one in pool.standins:
         one.most_open = None
     wait_for(lambda: not pool.guard.resolver.pending, "all is settled", 3.0)
@@ -175,8 +175,8 @@
     time.sleep(0.05)
     for number in range(5):
         pool.run(f"/calm/{number}", attempts=1)
-        assert pool.verdict(f"/calm/{number}") is Verdict.FREE
-    assert pool.verdict() is Verdict.SUSPECTED
+        assert pool.verdict(f"/calm/{number}") is SuspicionLevel.NONE
+    assert pool.verdict() is SuspicionLevel.SUSPECTED
 
 
 def test_a_request_open_during_a_crash_is_served_and_cleared(pool):
@@ -190,5 +190,5 @@
     pool.run(target_s=5.0)
     calm.join()
     assert sum(one.ending is Ending.ANSWERED for one in found) >= 11
-    free = [n for n in range(12) if pool.verdict(f"/calm/{n}") is Verdict.FREE]
+    free = [n for n in range(12) if pool.verdict(f"/calm/{n}") is SuspicionLevel.NONE]
     assert len(free) >= 11
--- a/tests/edge/test_streaming.py
+++ b/tests/edge/test_streaming.py
@@ -21,7 +21,7 @@
 from threadramp.platform.headers import request_id
 from threadramp.platform.standins.endpoint import PlatformEngine
 from threadramp.platform.standins.stuttering import Moment, Second, Stutter, StutteringFront
-from threadramp.policy.endpoint_choice import EndpointChoice
+from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
 
@@ -34,7 +34,7 @@
         self.engines: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
         access = Forwarder(
-            self.picture, ConnectionPool(), EndpointChoice(Random(1)), RetryBudget(), Clock()
+            self.picture, ConnectionPool(), EndpointSelector(Random(1)), RetryBudget(), Clock()
         )
         self.watcher = DisconnectWatcher()
         self.watcher.start()
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -43,13 +43,13 @@
 CALLER_SERVER = "src/threadramp/edge/caller_server.py"
 REPORTS = "src/threadramp/duties/usage_reports.py"
 RIGHTS = "src/threadramp/fleet/rights.py"
-WEIGHTS = "src/threadramp/runner/weights.py"
+WEIGHTS = "src/threadramp/runner/weight_loader.py"
 LATE_BYTES = "src/threadramp/wire/late_bytes.py"
 RUNNER_ENGINE = "src/threadramp/runner/engine.py"
 TRUE_TIME = "src/threadramp/policy/true_time.py"
-CRASH_BOOK = "src/threadramp/policy/crash_book.py"
+CRASH_TRACKER = "src/threadramp/policy/crash_tracker.py"
 CRASH_SHARING = "src/threadramp/fleet/crash_sharing.py"
-HIDDEN_ENDS = "src/threadramp/policy/hidden_ends.py"
+PROXIED_CRASHES = "src/threadramp/policy/proxied_crashes.py"
 EXCHANGE = "src/threadramp/edge/exchange.py"
 ENDPOINT_PROBE = "src/threadramp/edge/endpoint_probe.py"
 WATCHER = "src/threadramp/fleet/watcher.py"
@@ -238,7 +238,7 @@
     Removal.of_one(
         "crashes held against the request",
         "crashes_endpoints_is_not_sent_on",
-        CRASH_BOOK,
+        CRASH_TRACKER,
         "    standing = known.standing\n",
         "    standing = known.standing[:2]\n",
     ),
@@ -259,7 +259,7 @@
     Removal.of_one(
         "a good answer acquits",
         "popular_request_that_stands_in",
-        CRASH_BOOK,
+        CRASH_TRACKER,
         "if known is None or not known.standing:",
         "if True:",
     ),
@@ -280,8 +280,8 @@
     Removal.of_one(
         "ends behind a port held against the request",
         "crashes_endpoints_behind_fronts_is_not_sent_on",
-        HIDDEN_ENDS,
-        "return seen.was_begun and not seen.others_go_on and not seen.known_before",
+        PROXIED_CRASHES,
+        "return seen.was_begun and not seen.others_active and not seen.reported_before",
         "return False",
     ),
     Removal.of_one(
@@ -294,15 +294,15 @@
     Removal.of_one(
         "ends behind a port taken back by the same birth",
         "links_that_flap_convict_nobody",
-        HIDDEN_ENDS,
-        "Settlement.ENDED if 0 < known < told else Settlement.LIVES",
-        "Settlement.ENDED",
+        PROXIED_CRASHES,
+        "CrashResolution.CRASHED if 0 < known < reported else CrashResolution.ALIVE",
+        "CrashResolution.CRASHED",
     ),
     Removal.of_one(
         "ends behind a port held against the sample",
         "sample_that_crashes_engines_behind_fronts",
-        "src/threadramp/runner/engine_ends.py",
-        "return may_have_ended(Break(lived_s, found.took_s))",
+        "src/threadramp/runner/crash_detection.py",
+        "return may_have_crashed(ConnectionBreak(lived_s, found.took_s))",
         "return False",
     ),
     Removal.of_one(
@@ -347,7 +347,7 @@
     ),
     Removal.of_one(
         "the wait of the next holder",
-        "another_holder_has_a_higher_number_and_waits",
+        "another_holder_has_a_higher_token_and_waits",
         RIGHTS,
         "first_use_at = self.clock.now() + self.hand_over_s",
         "first_use_at = 0.0",
@@ -356,22 +356,20 @@
         "the store's word for each order",
         "sidecar_that_stood_still_does_not_order",
         (
-            Edit(WEIGHTS, "self.right.proven_number()", "self.right.usable_number()"),
-            Edit(
-                WEIGHTS, "report.orders, self.right.still_proven)", "report.orders, lambda: True)"
-            ),
+            Edit(WEIGHTS, "self.lock.proven_number()", "self.lock.usable_number()"),
+            Edit(WEIGHTS, "report.orders, self.lock.still_proven)", "report.orders, lambda: True)"),
         ),
     ),
     Removal.of_one(
         "the look at the proof before an order's bytes",
-        "order_is_not_sent_if_its_proof_got_old",
+        "order_is_not_sent_if_its_verification_expires",
         LATE_BYTES,
         "    if not may_send():\n",
         "    if False:\n",
     ),
     Removal.of_one(
         "the age of the store's word",
-        "answer_that_lay_here_proves_nothing",
+        "store_response_that_is_processed_late_verifies_nothing",
         RIGHTS,
         "and self.shown_ago_s() <= PROVEN_S",
         "",
@@ -385,7 +383,7 @@
     ),
     Removal.of_one(
         "the wait from when a take-over is found",
-        "store_does_late_is_waited_for",
+        "late_takeover_write_is_waited_for",
         RIGHTS,
         "found.revision, held, asked_at",
         "found.revision, HeldRight(held.holder, False), asked_at",
@@ -394,7 +392,7 @@
         "the middle of several clocks",
         "start_while_its_own_clock_is_off",
         TRUE_TIME,
-        "return self.own if abs(self.own - middle) < AGREE_S else middle",
+        "return self.own if abs(self.own - median) < MAX_DEVIATION_S else median",
         "return self.own",
     ),
     Removal.of_one(
