--- a/src/threadramp/core/sidecar.py
+++ b/src/threadramp/core/sidecar.py
@@ -1,4 +1,4 @@
-"""Decisions of a sidecar: what it admits, runs, keeps, refuses and orders."""
+"""State of one sidecar: admission of calls and rollouts, keys, and orders to its engine."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from threadramp.core.admission import Admission, Admitted, Queued
-from threadramp.core.chain import Chain
+from threadramp.core.chain import ConfigurationChain
+from threadramp.core.closed_steps import ClosedSteps
 from threadramp.core.freeze import FreezeDetector
 from threadramp.core.keys import KeyState, KeyTable, Run
-from threadramp.core.marks import StepMarks
 from threadramp.core.samples import SampleBuffer
-from threadramp.core.swap import Order, SwapRecord
+from threadramp.core.served_versions import Order, ServedVersions
 from threadramp.policy.reserve import RESERVES
 from threadramp.policy.routing import hash_fraction
 from threadramp.wire.messages import (
@@ -31,25 +31,25 @@
 if TYPE_CHECKING:
     from threadramp.config.resources import Endpoint, Pool
     from threadramp.config.settings import SidecarSettings
-    from threadramp.core.keys import Answer, Binding, Replay, Wait
+    from threadramp.core.keys import Binding, EndpointResponse, Replay, Wait
     from threadramp.core.samples import SampleTask
-    from threadramp.core.swap import ReadVersions
+    from threadramp.core.served_versions import ReadVersions
     from threadramp.wire.messages import Reply, Request
 
-NEWS_S = 10.0  # several beats; without one for so long another may stand beside the engine
+MAX_HEARTBEAT_AGE_S = 10.0  # several heartbeats; after that, another sidecar may serve the engine
 MAX_QUEUE = 256
-MAX_KEPT_ANSWERS = 4096
+MAX_STORED_RESPONSES = 4096
 DEFAULT_RESERVE = "none"
 
 
 @dataclass(frozen=True)
 class CallRequest:
-    """A call as it reaches a sidecar.
+    """A call as a sidecar receives it.
 
-    :param time_left_s: seconds until the caller wants its answer
-    :param revision: of the gateway that sent it
-    :param refusal_seen: number of the key's refusal that the caller has seen, 0 for none
-    :param model: the model it asks for, empty at a plain service
+    :param time_left_s: seconds until the caller needs the response
+    :param revision: configuration revision of the gateway that sent the call
+    :param refusal_seen: number of the key's newest refusal that the caller shows, 0 for none
+    :param model: the model that the call asks for, empty at a plain service
     """
 
     call: str
@@ -62,10 +62,10 @@
     model: str = ""
 
 
-class Verdict(Enum):
-    """What becomes of a running rollout after a piece."""
+class RolloutAction(Enum):
+    """How a running rollout proceeds after a piece of its output."""
 
-    GO_ON = auto()
+    CONTINUE = auto()
     STOP = auto()
     PAUSE = auto()
 
@@ -73,9 +73,12 @@
 class SidecarCore:
     """All state of one sidecar; the caller holds a lock around each method.
 
-    :param incarnation: names this process; a restarted sidecar has another
-    :param started_ms: wall clock at the start, a part of each order's number
+    :param incarnation: id of this process; a restarted sidecar has another one
+    :param started_ms: wall clock at the start, the lower part of each order's fencing token
     :param reserve: name of the reserve policy
+    :ivar stopping: whether a planned stop is in progress
+    :ivar pausing_rollouts: running rollouts that were told to pause and have not ended yet
+    :ivar last_heartbeat_at: monotonic time of the newest heartbeat that is certain to be recent
     """
 
     def __init__(
@@ -88,11 +91,11 @@
     ) -> None:
         self.settings = settings
         self.incarnation = incarnation
-        self.chain = Chain()
-        self.marks = StepMarks()
-        self.samples = SampleBuffer(self.marks)
+        self.chain = ConfigurationChain()
+        self.closed_steps = ClosedSteps()
+        self.samples = SampleBuffer(self.closed_steps)
         share = hash_fraction(settings.endpoint)
-        self.swap = SwapRecord(started_ms, share * settings.load_spread_s)
+        self.served_versions = ServedVersions(started_ms, share * settings.load_spread_s)
         self.freeze = FreezeDetector(settings.freeze_limit_s, now)
         self.admission = Admission(settings.slots, MAX_QUEUE, RESERVES[reserve]())
         self.keys = KeyTable(
@@ -100,18 +103,18 @@
             incarnation,
             settings.key_window_s,
             settings.max_keys,
-            MAX_KEPT_ANSWERS,
+            MAX_STORED_RESPONSES,
             now,
         )
         self.stopping = False
-        self.pausing = 0
-        self.heard_at = float("-inf")
+        self.pausing_rollouts = 0
+        self.last_heartbeat_at = float("-inf")
 
     # -- configuration ---------------------------------------------------------------------
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """Return this sidecar's endpoint as declared, none if it is not."""
+        """Return the declared endpoint of this sidecar, none if it is not declared."""
         return self.chain.get("endpoint", self.settings.endpoint)
 
     @property
@@ -122,7 +125,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Return whether no new work is taken."""
+        """Return whether this sidecar refuses new work."""
         endpoint = self.endpoint
         return self.stopping or endpoint is None or endpoint.drain
 
@@ -137,24 +140,27 @@
     # -- time ------------------------------------------------------------------------------
 
     def observe(self, now: float) -> None:
-        """Note the time; after a freeze nothing about the engine is taken for granted."""
+        """Record the time; a freeze of this process invalidates the verified versions."""
         if self.freeze.observe(now):
-            self.swap.lost_time(now)
+            self.served_versions.record_freeze(now)
 
-    def orders_due(self, now: float) -> list[Order | ReadVersions]:
-        """Return what to do towards the declared versions."""
+    def next_engine_actions(self, now: float) -> list[Order | ReadVersions]:
+        """Return the orders and reads that bring the engine to the declared versions."""
         self.observe(now)
-        due = self.swap.due(self.declared_versions(), self.chain.revision, now)
-        return [one for one in due if not isinstance(one, Order) or self.may_order(one, now)]
+        due = self.served_versions.next_actions(self.declared_versions(), self.chain.revision, now)
+        return [one for one in due if not isinstance(one, Order) or self.may_send_order(one, now)]
 
-    def may_order(self, order: Order, now: float) -> bool:
-        """Return whether an order may still be sent; asked right before it is.
+    def may_send_order(self, order: Order, now: float) -> bool:
+        """Return whether an order may still be sent; checked again right before the send.
 
-        The news that it rests on is a gateway's beat: one of the last while, and one that came
-        behind any order of newer news that the engine has obeyed.
+        The declared versions must have been confirmed by a gateway's heartbeat that is recent, and
+        that arrived after the engine was last found to have obeyed an order of a newer revision.
         """
         self.observe(now)
-        is_fresh = now - self.heard_at <= NEWS_S and self.heard_at >= self.swap.outdone_at
+        is_fresh = (
+            now - self.last_heartbeat_at <= MAX_HEARTBEAT_AGE_S
+            and self.last_heartbeat_at >= self.served_versions.superseded_at
+        )
         return is_fresh and self.declared_versions().get(order.model) == order.version
 
     # -- calls -----------------------------------------------------------------------------
@@ -162,15 +168,15 @@
     def begin_call(
         self, request: CallRequest, now: float
     ) -> Admitted | Queued | Replay | Wait | Refusal:
-        """Decide on a call that has arrived."""
+        """Admit, queue, replay, delay or refuse a call that has arrived."""
         self.observe(now)
         binding = request.binding
-        if binding is not None and self._is_decided(binding):
+        if binding is not None and self._is_decided_by_key(binding):
             return self.keys.begin(binding, request.body_digest, request.refusal_seen, now)
         deadline = now + request.time_left_s - self.freeze.unseen_wait_s(now)
-        refusal = self._refuse_call(request, deadline, now)
+        refusal = self._check_call(request, deadline, now)
         if refusal is not None:
-            return self._refuse(binding, refusal, now)
+            return self._record_refusal(binding, refusal, now)
         if binding is not None:
             decision = self.keys.begin(binding, request.body_digest, request.refusal_seen, now)
             if not isinstance(decision, Run):
@@ -181,47 +187,54 @@
         return offered
 
     def may_send(self, deadline: float, now: float) -> bool:
-        """Return whether a call may still be sent on; asked right before it is sent."""
+        """Return whether a call may still be sent to the endpoint; checked right before sending."""
         self.observe(now)
         return now < deadline
 
     def withdraw_call(
         self, call: str, binding: Binding | None, reason: Reason, message: str, now: float
     ) -> tuple[Refusal, list[str]]:
-        """Give up a call of which no byte has left.
+        """Cancel a call of which no byte was sent to the endpoint.
 
-        :returns: the refusal, and the calls that were admitted into the room
+        :returns: the refusal, and the queued calls that were admitted in its place
         """
-        self.admission.give_up(call)
+        self.admission.remove_waiting(call)
         admitted = self.admission.finish(call, now)
         if binding is None:
             return Refusal.not_run(reason, message, DEFAULT_RETRY_AFTER_S), admitted
         return self.keys.withdraw(binding, reason, message, now), admitted
 
     def end_call(
-        self, call: str, binding: Binding | None, answer: Answer | None, now: float
+        self, call: str, binding: Binding | None, response: EndpointResponse | None, now: float
     ) -> list[str]:
-        """Note the end of a call that was sent.
+        """Record the end of a call that was sent to the endpoint.
 
-        :param answer: the endpoint's whole answer, or none if none came
-        :returns: the calls that were admitted into the room
+        :param response: the endpoint's complete response, or none if none came
+        :returns: the queued calls that were admitted in its place
         """
         if binding is not None:
-            keep = answer is not None and len(answer.body) <= self.settings.max_answer_bytes
-            self.keys.finish(binding.key, answer, keep)
+            keep = response is not None and len(response.body) <= self.settings.max_answer_bytes
+            self.keys.finish(binding.key, response, keep)
         return self.admission.finish(call, now)
 
-    def _is_decided(self, binding: Binding) -> bool:
+    def _is_decided_by_key(self, binding: Binding) -> bool:
         state = self.keys.state(binding.key)
         return binding.incarnation != self.incarnation or state not in (None, KeyState.REFUSED)
 
-    def _refuse_call(self, request: CallRequest, deadline: float, now: float) -> Refusal | None:
+    def _check_call(self, request: CallRequest, deadline: float, now: float) -> Refusal | None:
         if request.revision < self.chain.revision:
-            return Refusal.not_run(Reason.SENDER_BEHIND, "the gateway has an older revision")
+            return Refusal.not_run(
+                Reason.SENDER_BEHIND,
+                "the gateway has an older revision",
+            )
         if request.revision > self.chain.revision:
-            # Decided by the older one, a call would run at a drained endpoint, or its sound answer
-            # would be rejected, as the change that its gateway accepted has not arrived here.
-            return Refusal.not_run(Reason.RECEIVER_BEHIND, "the sidecar has an older revision", 1)
+            # The gateway has accepted a change that has not arrived here. Under the older revision
+            # the call would run at a drained endpoint, or its valid response would be rejected.
+            return Refusal.not_run(
+                Reason.RECEIVER_BEHIND,
+                "the sidecar has an older revision",
+                1,
+            )
         if self.leaving:
             return Refusal.not_run(Reason.LEAVING, "the endpoint is leaving", 1)
         if deadline <= now:
@@ -230,71 +243,73 @@
             return Refusal.not_run(Reason.WEIGHTS_UNKNOWN, "the engine's version is not known", 1)
         return None
 
-    def _refuse(self, binding: Binding | None, refusal: Refusal, now: float) -> Refusal:
+    def _record_refusal(self, binding: Binding | None, refusal: Refusal, now: float) -> Refusal:
         if binding is None or refusal.reason in BEHIND:
-            return refusal  # it says nothing of the key: the gateway sends the call again
+            return refusal  # not recorded for the key: the gateway resends the call
         return self.keys.refuse(binding, refusal.reason, refusal.message, now)
 
     def _may_start(self, model: str) -> bool:
         endpoint = self.endpoint
-        return endpoint is not None and self.swap.may_start(model, endpoint.names_versions)
+        return endpoint is not None and self.served_versions.may_start(
+            model, endpoint.names_versions
+        )
 
     # -- rollouts --------------------------------------------------------------------------
 
     def next_rollout(self, now: float) -> SampleTask | None:
-        """Take the next sample to run, if a slot is left for it."""
+        """Return the next sample to run, none if no sample or no slot is available."""
         self.observe(now)
         pool = self.pool
-        if pool is None or self.leaving or not self.samples.queued():
+        if pool is None or self.leaving or not self.samples.queued_count():
             return None
         allowed = {model for model in pool.models if self._may_start(model)}
         if not allowed or not self.admission.start_rollout(now):
             return None
-        task = self.samples.start(allowed)
+        task = self.samples.next_task(allowed)
         if task is None:
             self.admission.finish_rollout(now)
         return task
 
     def rollout_piece(
         self, task: SampleTask, text: str, tokens: int, version: int | None, since: float
-    ) -> Verdict:
-        """Take a piece of a running rollout.
+    ) -> RolloutAction:
+        """Handle a piece of a running rollout's output.
 
-        :param version: as the engine named it; none where it names none
+        :param version: weight version that the engine named, none if it named none
         :param since: monotonic time at which the run started
         """
-        if version is None or not self.swap.is_possible(task.model, version, since):
-            return Verdict.STOP
-        if not self.samples.piece(task, text, tokens, version):
-            return Verdict.STOP
-        if self.admission.rollouts_to_pause() > self.pausing:
-            self.pausing += 1
-            return Verdict.PAUSE
-        return Verdict.GO_ON
-
-    def end_rollout(self, task: SampleTask, whole: bool, paused: bool, now: float) -> list[str]:
-        """Note the end of a rollout's run.
-
-        :param whole: whether the engine sent its end mark
-        :returns: the calls that were admitted into the room
+        if version is None or not self.served_versions.may_have_served(task.model, version, since):
+            return RolloutAction.STOP
+        if not self.samples.add_piece(task, text, tokens, version):
+            return RolloutAction.STOP
+        if self.admission.rollouts_to_pause() > self.pausing_rollouts:
+            self.pausing_rollouts += 1
+            return RolloutAction.PAUSE
+        return RolloutAction.CONTINUE
+
+    def end_rollout(self, task: SampleTask, complete: bool, paused: bool, now: float) -> list[str]:
+        """Record the end of a rollout's run.
+
+        :param complete: whether the engine sent its end mark
+        :returns: the queued calls that were admitted in its place
         """
-        if whole:
+        if complete:
             self.samples.finish(task)
         else:
-            self.samples.fail(task, keep=paused)
+            self.samples.requeue(task, keep_text=paused)
         if paused:
-            self.pausing -= 1
+            self.pausing_rollouts -= 1
         return self.admission.finish_rollout(now)
 
     # -- sync ------------------------------------------------------------------------------
 
     def handle(self, request: Request, now: float) -> Reply:
-        """Answer a message of the sync exchange."""
+        """Return the reply to a message of the sync exchange."""
         self.observe(now)
         if isinstance(request, SyncRequest):
-            return self._beat(request, now)
+            return self._handle_heartbeat(request, now)
         if isinstance(request, StepPoll):
-            return self._poll(request, now)
+            return self._handle_poll(request, now)
         if isinstance(request, CloseStep):
             self.samples.close(request)
             return StepClosed(request.key)
@@ -303,30 +318,32 @@
             return KeyAnswer(self.incarnation, "" if state is None else state.value)
         raise TypeError(type(request).__name__)
 
-    def _beat(self, request: SyncRequest, now: float) -> SyncReply:
+    def _handle_heartbeat(self, request: SyncRequest, now: float) -> SyncReply:
         if request.snapshot is not None:
             self.chain.restore(request.snapshot)
         self.chain.apply(request.changes)
-        if not self.freeze.unseen_wait_s(now):  # else it may have lain here
-            self.heard_at = now
-        if self.marks.merge(request.marks):
+        if not self.freeze.unseen_wait_s(now):  # else it may be from before a freeze
+            self.last_heartbeat_at = now
+        if self.closed_steps.merge(request.marks):
             self.samples.drop_closed()
         self.samples.sweep(now)
         changes, snapshot = self.chain.update_for(request.revision)
-        marks = self.marks.since(request.marks_seen)
-        return SyncReply(self.report(now), changes, snapshot, marks, self.marks.count)
+        marks = self.closed_steps.since(request.marks_seen)
+        return SyncReply(self.report(now), changes, snapshot, marks, self.closed_steps.change_count)
 
-    def _poll(self, poll: StepPoll, now: float) -> Reply:
+    def _handle_poll(self, poll: StepPoll, now: float) -> Reply:
         if poll.revision < self.chain.revision:
             changes, snapshot = self.chain.update_for(poll.revision)
             return StepRefused(Reason.SENDER_BEHIND.value, changes=changes, snapshot=snapshot)
-        # What its gateway already knows may be that this endpoint is drained.
+        # A newer revision at the gateway may drain this endpoint.
         lags = poll.revision > self.chain.revision
-        takes_work = not self.leaving and not lags and not self.swap.is_stuck(poll.model, now)
-        return self.samples.poll(poll, takes_work, now)
+        takes_work = (
+            not self.leaving and not lags and not self.served_versions.is_stuck(poll.model, now)
+        )
+        return self.samples.handle_poll(poll, takes_work, now)
 
     def report(self, now: float) -> EndpointReport:
-        """Return what holds here."""
+        """Return this sidecar's state for its gateways."""
         return EndpointReport(
             endpoint=self.settings.endpoint,
             incarnation=self.incarnation,
@@ -337,7 +354,7 @@
             running=len(self.admission.running),
             queued=len(self.admission.queue),
             rollouts=self.admission.rollouts,
-            weights=self.swap.verified(),
+            weights=self.served_versions.verified(),
             problems=tuple(self._problems()),
         )
 
@@ -345,11 +362,11 @@
         problems = []
         if self.endpoint is None:
             problems.append("endpoint is not declared")
-        serving = self.swap.verified()
+        serving = self.served_versions.verified()
         for model, version in self.declared_versions().items():
             if serving.get(model) != version:
                 problems.append(f"{model}: serves {serving.get(model)}, declared {version}")
         return problems
 
 
-__all__ = ["CallRequest", "SidecarCore", "Verdict"]
+__all__ = ["CallRequest", "SidecarCore", "RolloutAction"]
--- a/src/threadramp/edge/attempt_history.py
+++ b/src/threadramp/edge/attempt_history.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from threadramp.edge.exchange import EndpointResponse, Exchange
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 
 @dataclass
@@ -24,18 +24,18 @@
     """
 
     open_exchanges: list[Exchange] = field(default_factory=list)
-    possibly_ran: set[Start] = field(default_factory=set)
-    rejected: set[Start] = field(default_factory=set)
-    crashed: set[Start] = field(default_factory=set)
-    unreachable: set[Start] = field(default_factory=set)
-    sent_at: dict[Start, float] = field(default_factory=dict)
-    started_at: dict[Start, float] = field(default_factory=dict)
+    possibly_ran: set[Incarnation] = field(default_factory=set)
+    rejected: set[Incarnation] = field(default_factory=set)
+    crashed: set[Incarnation] = field(default_factory=set)
+    unreachable: set[Incarnation] = field(default_factory=set)
+    sent_at: dict[Incarnation, float] = field(default_factory=dict)
+    started_at: dict[Incarnation, float] = field(default_factory=dict)
     may_have_run: bool = False
     rejection_rounds: int = 0
     last_error_response: EndpointResponse | None = None
 
     @property
-    def excluded(self) -> set[Start]:
+    def excluded(self) -> set[Incarnation]:
         """Return the endpoints that are not tried again for now."""
         return self.possibly_ran | self.rejected | self.unreachable
 
--- a/src/threadramp/edge/attempt_loop.py
+++ b/src/threadramp/edge/attempt_loop.py
@@ -19,13 +19,13 @@
 if TYPE_CHECKING:
     from collections.abc import Set
 
-    from threadramp.duties.collecting import UsageCounting
+    from threadramp.duties.collecting import UsageCounter
     from threadramp.edge.connection_pool import ConnectionPool
     from threadramp.edge.exchange import EndpointResponse, Exchange
     from threadramp.edge.job import Job
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.model import Endpoint, Start
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
+    from threadramp.fleet.model import Endpoint, Incarnation
     from threadramp.platform.headers import AnswerHead
     from threadramp.policy.endpoint_choice import EndpointSelector
     from threadramp.policy.retries import RetryBudget
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        fleet_view: Picture,
+        fleet_view: FleetView,
         connection_pool: ConnectionPool,
         choice: EndpointSelector,
         retry_budget: RetryBudget,
         clock: Clock,
         guard: CrashGuard | None = None,
-        usage_counter: UsageCounting | None = None,
+        usage_counter: UsageCounter | None = None,
     ) -> None:
         self.fleet_view = fleet_view
         self.connection_pool = connection_pool
@@ -63,13 +63,13 @@
 
     def drop_unlisted(self) -> None:
         """Drop connections and records of incarnations that are no longer listed."""
-        incarnations = {one.start for one in self.fleet_view.belief.endpoints.values()}
+        incarnations = {one.incarnation for one in self.fleet_view.snapshot.endpoints.values()}
         self.connection_pool.retain_only(incarnations)
         self.choice.retain(incarnations)
 
     def release_connection(self, exchange: Exchange, response: EndpointResponse) -> None:
         """Return a connection to the pool, within this gateway's share of idle connections."""
-        belief = self.fleet_view.belief
+        belief = self.fleet_view.snapshot
         pool = belief.pool(exchange.endpoint.pool)
         max_idle = max_idle_connections(pool.max_connections, len(belief.gateways()))
         self.connection_pool.release(exchange, response, self.clock.now(), max_idle)
@@ -150,9 +150,9 @@
         history.rejected.clear()
         return self._pause(REJECTION_PAUSE_S)
 
-    def _choose_endpoint(self, taken: Set[Start]) -> Endpoint | None:
+    def _choose_endpoint(self, taken: Set[Incarnation]) -> Endpoint | None:
         """Return an endpoint that was not tried yet and is not in ``taken``."""
-        endpoints = self.access.fleet_view.belief.in_pool(self.pool)
+        endpoints = self.access.fleet_view.snapshot.in_pool(self.pool)
         return self.access.choice.choose(endpoints, self.history.excluded | taken, self.now())
 
     def _stop_after_crashes(self) -> Outcome | None:
@@ -178,7 +178,7 @@
         left = self.job.deadline - now
         if left <= 0.0:  # the process was paused since the deadline was checked
             return
-        self.history.sent_at[endpoint.start] = now
+        self.history.sent_at[endpoint.incarnation] = now
         request_id = self.job.request_id
         # Without an id nothing tells its response from a duplicate of an earlier one.
         force_new = force_new or not request_id
@@ -204,14 +204,14 @@
     def record_start(self, endpoint: Endpoint, at: float) -> None:
         """Count the job as started at an endpoint, for the usage of its organisation."""
         if self.access.usage_counter is not None:
-            self.history.started_at[endpoint.start] = at
-            self.access.usage_counter.began(self.job.identity.organisation, at)
+            self.history.started_at[endpoint.incarnation] = at
+            self.access.usage_counter.count_sent(self.job.identity.organisation, at)
 
     def retract_start(self, endpoint: Endpoint) -> None:
         """Undo that count: the endpoint did not run the job, or never received it."""
-        at = self.history.started_at.pop(endpoint.start, None)
+        at = self.history.started_at.pop(endpoint.incarnation, None)
         if at is not None:
-            self.access.usage_counter.did_not_begin(self.job.identity.organisation, at)
+            self.access.usage_counter.uncount(self.job.identity.organisation, at)
 
     def record_closed(self, exchange: Exchange) -> None:
         """Remove an exchange that is finished."""
@@ -239,7 +239,7 @@
     def record_rejection(self, endpoint: Endpoint, status: int) -> None:
         """Record that an endpoint reported that it did not run the job."""
         self.retract_start(endpoint)
-        self.history.rejected.add(endpoint.start)
+        self.history.rejected.add(endpoint.incarnation)
         log_state(
             "rejected", request=self.job.request_id, instance=endpoint.instance, status=status
         )
@@ -260,15 +260,18 @@
     def _has_crashed(self, endpoint: Endpoint, error: ExchangeError) -> bool:
         """Return whether an endpoint that broke its connection crashed during this request."""
         broken = BrokenExchange(
-            self.now() - self.history.sent_at[endpoint.start],
+            self.now() - self.history.sent_at[endpoint.incarnation],
             error.stale,
-            sum(one.endpoint.start == endpoint.start for one in self.history.open_exchanges),
+            sum(
+                one.endpoint.incarnation == endpoint.incarnation
+                for one in self.history.open_exchanges
+            ),
             lambda: self.access.choice.open_requests(endpoint),
         )
         if not self.access.guard.record_broken_connection(self.job, endpoint, broken):
             return False
-        self.history.crashed.add(endpoint.start)
-        self.access.connection_pool.close_idle(endpoint.start)
+        self.history.crashed.add(endpoint.incarnation)
+        self.access.connection_pool.close_idle(endpoint.incarnation)
         return True
 
     def record_failure(
@@ -279,12 +282,12 @@
         :param pause: seconds for which other endpoints are preferred
         """
         if ran:
-            self.history.possibly_ran.add(endpoint.start)
+            self.history.possibly_ran.add(endpoint.incarnation)
             self.history.may_have_run = True
         elif error.refused:
-            self.history.unreachable.add(endpoint.start)
+            self.history.unreachable.add(endpoint.incarnation)
         else:
-            self.history.rejected.add(endpoint.start)
+            self.history.rejected.add(endpoint.incarnation)
         log_state(
             "endpoint_failed",
             request=self.job.request_id,
@@ -297,7 +300,7 @@
     def _record_stale_connection(self, endpoint: Endpoint, error: ExchangeError, ran: bool) -> None:
         """Record that an idle connection had been closed; a new one may be opened."""
         self.retract_start(endpoint)
-        self.access.connection_pool.close_idle(endpoint.start)  # the others were idle as long
+        self.access.connection_pool.close_idle(endpoint.incarnation)  # the others were idle as long
         self.history.may_have_run |= ran
         log_state(
             "connection_stale",
--- a/src/threadramp/edge/connection_breaks.py
+++ b/src/threadramp/edge/connection_breaks.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 # All connections to a crashing endpoint break within some ms; threads that wait for a CPU notice a
 # little later.
@@ -71,13 +71,13 @@
     """Breaks whose endpoint is being probed; their exchanges may still be counted as open."""
 
     def __init__(self) -> None:
-        self.pending: Counter[Start] = Counter()
-        self.pending_open: Counter[Start] = Counter()
-        self.responded: set[Start] = set()
+        self.pending: Counter[Incarnation] = Counter()
+        self.pending_open: Counter[Incarnation] = Counter()
+        self.responded: set[Incarnation] = set()
         self.lock = Lock()
 
     @contextmanager
-    def probing(self, incarnation: Start, broken: BrokenExchange) -> Iterator[None]:
+    def probing(self, incarnation: Incarnation, broken: BrokenExchange) -> Iterator[None]:
         """Count a request as broken while its endpoint is probed."""
         with self.lock:
             self.pending[incarnation] += 1
@@ -87,13 +87,13 @@
         finally:
             self._finish_probe(incarnation, broken)
 
-    def record_response(self, incarnation: Start) -> None:
+    def record_response(self, incarnation: Incarnation) -> None:
         """Record a response of an endpoint if a break of it is being probed."""
         if incarnation in self.pending:
             with self.lock:
                 self.responded.add(incarnation)
 
-    def others_still_active(self, incarnation: Start, broken: BrokenExchange) -> bool:
+    def others_still_active(self, incarnation: Incarnation, broken: BrokenExchange) -> bool:
         """Return whether other requests stay open or got a response there, after a short wait."""
         deadline = steady_s() + OTHERS_WAIT_S
         while broken.count_open() > self.pending_open[incarnation]:
@@ -102,7 +102,7 @@
             time.sleep(OTHERS_POLL_S)
         return incarnation in self.responded
 
-    def _finish_probe(self, incarnation: Start, broken: BrokenExchange) -> None:
+    def _finish_probe(self, incarnation: Incarnation, broken: BrokenExchange) -> None:
         with self.lock:
             self.pending[incarnation] -= 1
             self.pending_open[incarnation] -= broken.own_open
--- a/src/threadramp/edge/connection_pool.py
+++ b/src/threadramp/edge/connection_pool.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from threadramp.edge.exchange import EndpointResponse
-    from threadramp.fleet.model import Endpoint, Start
+    from threadramp.fleet.model import Endpoint, Incarnation
 
 CONNECT_TIMEOUT_S = 0.3  # a healthy endpoint accepts within a few ms, across regions within tens
 DEFAULT_IDLE_S = 3.0  # how long a connection is reused if the endpoint announces no time
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, count: Callable[[str, str], None] = lambda kind, label: None) -> None:
-        self.idle: dict[Start, deque[_IdleConnection]] = {}
+        self.idle: dict[Incarnation, deque[_IdleConnection]] = {}
         self.lock = threading.Lock()
         self.opened = 0
         self.count = count
@@ -99,18 +99,18 @@
             return
         expires_at = now + _idle_timeout_s(response)
         with self.lock:
-            queue = self.idle.setdefault(exchange.endpoint.start, deque())
+            queue = self.idle.setdefault(exchange.endpoint.incarnation, deque())
             if len(queue) < max_idle:
                 queue.append(_IdleConnection(exchange.connection, expires_at))
                 return
         exchange.connection.close()
 
-    def retain_only(self, incarnations: set[Start]) -> None:
+    def retain_only(self, incarnations: set[Incarnation]) -> None:
         """Close the idle connections of all other incarnations."""
         for gone in [one for one in list(self.idle) if one not in incarnations]:
             self.close_idle(gone)
 
-    def close_idle(self, incarnation: Start) -> None:
+    def close_idle(self, incarnation: Incarnation) -> None:
         """Close the idle connections of one incarnation of an endpoint."""
         with self.lock:
             queue = self.idle.pop(incarnation, ())
@@ -123,7 +123,7 @@
         """Take an idle connection that has not carried this id, none if there is none."""
         while True:
             with self.lock:
-                queue = self.idle.get(endpoint.start, deque())
+                queue = self.idle.get(endpoint.incarnation, deque())
                 fitting = (
                     one for one in reversed(queue) if request_id not in one.connection.request_ids
                 )
--- a/src/threadramp/edge/crash_admission.py
+++ b/src/threadramp/edge/crash_admission.py
@@ -11,7 +11,7 @@
 
     from threadramp.edge.crash_guard import CrashGuard
     from threadramp.edge.job import Job
-    from threadramp.fleet.model import Endpoint, Start
+    from threadramp.fleet.model import Endpoint, Incarnation
 
 
 class CrashAdmission:
@@ -21,7 +21,7 @@
         self.guard = guard
         self.job = job
         self.admitted = NO_SUSPICION
-        self.reserved: Start | None = None
+        self.reserved: Incarnation | None = None
         self.must_wait = False
 
     def fingerprint(self) -> bytes:
@@ -42,12 +42,15 @@
             return self.admitted
         return self.guard.assess(self.fingerprint)
 
-    def record_response(self, incarnation: Start) -> None:
+    def record_response(self, incarnation: Incarnation) -> None:
         """Record a response, which shows that the endpoint did not crash."""
         self.guard.record_response(self.fingerprint, incarnation)
 
     def choose(
-        self, pick: Callable[[Set[Start]], Endpoint | None], assessment: Assessment, is_last: bool
+        self,
+        pick: Callable[[Set[Incarnation]], Endpoint | None],
+        assessment: Assessment,
+        is_last: bool,
     ) -> Endpoint | None:
         """Return the endpoint for the request, none if it has to wait for other suspects.
 
@@ -63,10 +66,10 @@
             return pick(frozenset())
         excluded = self.guard.isolated_endpoints()
         while (chosen := pick(excluded)) is not None:
-            if self.guard.isolate(chosen.start):
-                self.reserved = chosen.start
+            if self.guard.isolate(chosen.incarnation):
+                self.reserved = chosen.incarnation
                 return chosen
-            excluded.add(chosen.start)
+            excluded.add(chosen.incarnation)
         self.must_wait = bool(excluded)
         return None
 
--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -29,8 +29,8 @@
     from threadramp.edge.connection_breaks import BrokenExchange
     from threadramp.edge.job import Job
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.model import Endpoint, Start
-    from threadramp.fleet.picture import Picture
+    from threadramp.fleet.fleet_view import FleetView
+    from threadramp.fleet.model import Endpoint, Incarnation
     from threadramp.policy.crash_tracker import CrashTracker
 
 PROBE_REUSE_S = 0.2  # all requests at an endpoint break at once and share one probe
@@ -48,7 +48,7 @@
         self,
         tracker: CrashTracker,
         clock: Clock,
-        fleet_view: Picture,
+        fleet_view: FleetView,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
         count: Callable[[str, str], None] = lambda kind, label: None,
         probe: Callable[[str], EndpointState] = probe_endpoint,
@@ -61,8 +61,8 @@
         self.probe = probe
         self.resolver = CrashResolver(tracker, clock, is_replaced=self._is_replaced)
         self.pending_breaks = PendingBreaks()
-        self.recent_probes: dict[Start, tuple[ProbeResult, float]] = {}
-        self.isolated: set[Start] = set()
+        self.recent_probes: dict[Incarnation, tuple[ProbeResult, float]] = {}
+        self.isolated: set[Incarnation] = set()
         self.lock = threading.Lock()
 
     def assess(self, fingerprint: Callable[[], bytes]) -> Assessment:
@@ -113,9 +113,9 @@
 
         :returns: whether the endpoint has crashed, as far as is known now
         """
-        incarnation = self.tracker.current_incarnation(endpoint.start)
+        incarnation = self.tracker.current_incarnation(endpoint.incarnation)
         other_open = broken.count_open() - broken.own_open
-        with self.pending_breaks.probing(endpoint.start, broken):
+        with self.pending_breaks.probing(endpoint.incarnation, broken):
             probe = self._probe(endpoint)
             listens = probe.state is EndpointState.BREAKS
             attributed = listens and may_have_crashed(self._describe_break(endpoint, broken, probe))
@@ -137,7 +137,7 @@
         return True
 
     def record_crash(
-        self, name: str, fingerprint: bytes, incarnation: Start, listens: bool = False
+        self, name: str, fingerprint: bytes, incarnation: Incarnation, listens: bool = False
     ) -> None:
         """Record that an incarnation of an endpoint crashed while a request was open there.
 
@@ -157,7 +157,7 @@
             listens=listens,
         )
 
-    def record_response(self, fingerprint: Callable[[], bytes], incarnation: Start) -> None:
+    def record_response(self, fingerprint: Callable[[], bytes], incarnation: Incarnation) -> None:
         """Record a response: the endpoint is alive, and the request ran without crashing it."""
         self.pending_breaks.record_response(incarnation)
         if self.tracker.is_empty:
@@ -172,12 +172,12 @@
                 "acquitted", fingerprint=short_fingerprint(key), instance=incarnation.instance
             )
 
-    def isolated_endpoints(self) -> set[Start]:
+    def isolated_endpoints(self) -> set[Incarnation]:
         """Return the endpoints that are reserved for one isolated request."""
         with self.lock:
             return set(self.isolated)
 
-    def isolate(self, incarnation: Start) -> bool:
+    def isolate(self, incarnation: Incarnation) -> bool:
         """Reserve an endpoint for one isolated request; false if it is reserved already."""
         with self.lock:
             if incarnation in self.isolated:
@@ -185,7 +185,7 @@
             self.isolated.add(incarnation)
             return True
 
-    def end_isolation(self, incarnation: Start) -> None:
+    def end_isolation(self, incarnation: Incarnation) -> None:
         """Release an endpoint that was reserved for an isolated request."""
         with self.lock:
             self.isolated.discard(incarnation)
@@ -199,16 +199,16 @@
             broken.sent_ago_s,
             probe.took_s,
             broken.reused,
-            self.pending_breaks.others_still_active(endpoint.start, broken),
+            self.pending_breaks.others_still_active(endpoint.incarnation, broken),
             self.tracker.is_reported_crashed(
-                self.tracker.current_incarnation(endpoint.start), sent_at
+                self.tracker.current_incarnation(endpoint.incarnation), sent_at
             ),
         )
 
     def _probe(self, endpoint: Endpoint) -> ProbeResult:
         now = self.clock.now()
         with self.lock:
-            probe, at = self.recent_probes.get(endpoint.start, (None, float("-inf")))
+            probe, at = self.recent_probes.get(endpoint.incarnation, (None, float("-inf")))
         if probe is not None and now - at <= PROBE_REUSE_S:
             return probe
         probe = timed_probe(endpoint.address, self.probe)
@@ -218,12 +218,12 @@
                 for incarnation, entry in self.recent_probes.items()
                 if now - entry[1] <= PROBE_REUSE_S
             }
-            self.recent_probes[endpoint.start] = (probe, now)
+            self.recent_probes[endpoint.incarnation] = (probe, now)
         return probe
 
-    def _is_replaced(self, incarnation: Start, address: str) -> bool:
+    def _is_replaced(self, incarnation: Incarnation, address: str) -> bool:
         """Return whether an endpoint with another id is listed at the same address."""
-        listed = self.fleet_view.belief.endpoints.values()
+        listed = self.fleet_view.snapshot.endpoints.values()
         return any(
             one.address == address and one.instance != incarnation.instance for one in listed
         )
@@ -232,7 +232,7 @@
         """Return whether the endpoint had announced that it was leaving."""
         listed = endpoint
         with suppress(KeyError):
-            listed = self.fleet_view.belief.endpoints[endpoint.instance]
+            listed = self.fleet_view.snapshot.endpoints[endpoint.instance]
         return listed.leaving
 
 
--- a/src/threadramp/edge/crash_resolver.py
+++ b/src/threadramp/edge/crash_resolver.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
     from threadramp.fleet.clock import Clock
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
     from threadramp.policy.crash_tracker import CrashTracker
 
 MAX_PENDING = 64  # endpoints at once, each with a thread
@@ -40,17 +40,17 @@
         clock: Clock,
         query_start_time: Callable[[str], int | None] = fetch_start_time,
         sleep: Callable[[float], None] = time.sleep,
-        is_replaced: Callable[[Start, str], bool] = lambda incarnation, address: False,
+        is_replaced: Callable[[Incarnation, str], bool] = lambda incarnation, address: False,
     ) -> None:
         self.tracker = tracker
         self.clock = clock
         self.query_start_time = query_start_time
         self.sleep = sleep
         self.is_replaced = is_replaced
-        self.pending: dict[Start, dict[bytes, float]] = {}
+        self.pending: dict[Incarnation, dict[bytes, float]] = {}
         self.lock = threading.Lock()
 
-    def resolve(self, incarnation: Start, address: str, fingerprint: bytes) -> None:
+    def resolve(self, incarnation: Incarnation, address: str, fingerprint: bytes) -> None:
         """Find out whether an incarnation crashed that broke the connection of a request."""
         at = self.clock.time_of_day()
         with self.lock:
@@ -67,7 +67,7 @@
                 del self.pending[incarnation]
             log_state("crash_not_resolved", instance=incarnation.instance, error=str(error))
 
-    def _resolve(self, incarnation: Start, address: str) -> None:
+    def _resolve(self, incarnation: Incarnation, address: str) -> None:
         try:
             resolution, start_time = self._probe_until_resolved(incarnation, address)
         finally:
@@ -96,7 +96,7 @@
         return max(self.clock.time_of_day(), max(pending.values()) + MIN_STEP_S)
 
     def _probe_until_resolved(
-        self, incarnation: Start, address: str
+        self, incarnation: Incarnation, address: str
     ) -> tuple[CrashResolution, int]:
         broke_at = self.clock.time_of_day()
         responding_s = None  # seconds since its first response without a start time
--- a/src/threadramp/edge/forward.py
+++ b/src/threadramp/edge/forward.py
@@ -104,13 +104,13 @@
     def _choose_hedge_endpoint(self, slow: Exchange) -> Endpoint | None:
         """Return the endpoint for a hedged attempt, none if there is none."""
         history = self.history
-        used = history.possibly_ran | {slow.endpoint.start}
-        pool = self.access.fleet_view.belief.in_pool(self.pool)
+        used = history.possibly_ran | {slow.endpoint.incarnation}
+        pool = self.access.fleet_view.snapshot.in_pool(self.pool)
         chosen = None
         if len(used) < self.job.route.max_attempts:
             chosen = self.access.choice.choose(pool, used | history.rejected, self.now())
         if chosen is None and slow.reused:
-            same = [one for one in pool if one.start == slow.endpoint.start]
+            same = [one for one in pool if one.incarnation == slow.endpoint.incarnation]
             chosen = self.access.choice.choose(same, (), self.now())
         return chosen
 
@@ -121,7 +121,7 @@
         """
         for slow in self.history.open_exchanges:
             if slow.reused:
-                self.access.connection_pool.close_idle(slow.endpoint.start)
+                self.access.connection_pool.close_idle(slow.endpoint.incarnation)
 
     def _read_response(self, exchange: Exchange) -> Outcome | None:
         left = max(0.05, min(READ_TIMEOUT_S, self.job.deadline - self.now()))
@@ -158,7 +158,7 @@
             self.record_rejection(endpoint, head.status)
             return None
         if head.signature:  # else a reverse proxy may have sent it for a crashed endpoint
-            self.admission.record_response(endpoint.start)
+            self.admission.record_response(endpoint.incarnation)
         unsigned = 200 <= head.status < 300 and not head.signature
         if unsigned or head.status >= 500:
             return self._handle_failed_response(endpoint, response, unsigned)
--- a/src/threadramp/edge/handler.py
+++ b/src/threadramp/edge/handler.py
@@ -9,8 +9,8 @@
 from threadramp.edge.job import Ending, Job, Outcome
 from threadramp.edge.server import BodyTooLongError
 from threadramp.fleet.model import CallerLimits, RouteKind
-from threadramp.lots.elsewhere import LotUnknownError
-from threadramp.lots.repeated_writes import SETTLE_S
+from threadramp.lots.remote_lots import LotUnknownError
+from threadramp.lots.retried_writes import RETRY_FOR_S
 from threadramp.platform.headers import (
     RETRY_AFTER,
     caller_key,
@@ -38,8 +38,8 @@
     from threadramp.edge.server import CallerRequest
     from threadramp.edge.streaming import StreamForwarder
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.model import Configuration, Route
-    from threadramp.fleet.picture import Picture
     from threadramp.lots.owner import LotOwner
     from threadramp.lots.reading import LotReader
     from threadramp.platform.trainer_calls import LotCall
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        fleet_view: Picture,
+        fleet_view: FleetView,
         forwarder: Forwarder,
         stream_forwarder: StreamForwarder,
         owner: LotOwner,
@@ -104,7 +104,7 @@
 
     def _serve(self, request: CallerRequest) -> None:
         started = request.arrived_at
-        configuration = self.fleet_view.belief.configuration
+        configuration = self.fleet_view.snapshot.configuration
         if configuration is None:
             self._refuse(request, 503, START_RETRY_S, "no configuration yet")
             return
@@ -247,7 +247,7 @@
             request.respond(400, body=str(error).encode())
             return
         try:
-            self.owner.hand_in(lot, route, _retry_time_s(request))
+            self.owner.submit(lot, route, _retry_time_s(request))
         except StoreRefusedError as error:
             self._refuse(request, 503, STORE_RETRY_S, f"lot not stored: {error}")
         except StoreError as error:
@@ -260,7 +260,7 @@
 
     def _serve_lot_call(self, request: CallerRequest, configuration: Configuration) -> None:
         """Handle a call about a lot; a lot of another organisation is reported as not found."""
-        public = configuration.takes_lots_of_anybody(request.host)
+        public = configuration.accepts_anonymous_lots(request.host)
         identity = self._authenticate(request, configuration, public)
         if identity is None:
             return
@@ -320,7 +320,7 @@
     another gateway.
     """
     left = time_left_s(request.headers)
-    return SETTLE_S if left is None else min(MAX_RETRY_TIME_S, left * RETRY_TIME_SHARE)
+    return RETRY_FOR_S if left is None else min(MAX_RETRY_TIME_S, left * RETRY_TIME_SHARE)
 
 
 __all__ = ["EdgeHandler"]
--- a/src/threadramp/edge/streaming.py
+++ b/src/threadramp/edge/streaming.py
@@ -107,11 +107,11 @@
         route = self.job.route
         if not self.stream.started or not route.may_repeat or self.return_count >= MAX_RETURNS:
             return []
-        pool = self.access.fleet_view.belief.in_pool(self.pool)
+        pool = self.access.fleet_view.snapshot.in_pool(self.pool)
         ran = self.history.possibly_ran
         if len(ran) < route.max_attempts and len(pool) > len(ran):
             return []
-        return [one for one in pool if one.start in ran]
+        return [one for one in pool if one.incarnation in ran]
 
     def finish(self, outcome: Outcome) -> Outcome:
         """Return the outcome; a stream that has started and is incomplete is cut."""
@@ -151,7 +151,7 @@
         self.record_start(exchange.endpoint, self.now())
         self.stream.start(response)
         self.stream.relay(exchange, response, self._read_timeout_s)
-        self.admission.record_response(exchange.endpoint.start)
+        self.admission.record_response(exchange.endpoint.incarnation)
         self.access.release_connection(exchange, streamed_response(response))
         self.access.choice.record_success(exchange.endpoint, head.load, self.now())
         return Outcome(Ending.STREAMED)
@@ -162,7 +162,7 @@
         """Handle a response that is not a stream: an error, or a fault of the endpoint."""
         complete_response = exchange.read_body(response)
         if head.signature:  # else a reverse proxy may have sent it for a crashed endpoint
-            self.admission.record_response(exchange.endpoint.start)
+            self.admission.record_response(exchange.endpoint.incarnation)
         if 200 <= head.status < 300 and not head.signature:
             raise StreamBrokenError(exchange.endpoint.instance, "no signature")
         if head.status >= 500:
@@ -185,7 +185,7 @@
     def _can_resume_elsewhere(self) -> bool:
         route = self.job.route
         others = (
-            len(self.access.fleet_view.belief.in_pool(self.pool))
+            len(self.access.fleet_view.snapshot.in_pool(self.pool))
             > len(self.history.possibly_ran) + 1
         )
         return (
--- a/src/threadramp/policy/crash_tracker.py
+++ b/src/threadramp/policy/crash_tracker.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.fleet.model import Start
+    from threadramp.fleet.model import Incarnation
 
 # A harmless request that runs beside a crashing one is often part of one crash, and of two if both
 # are retried at the same endpoint. From then on it is sent to endpoints without other suspects.
@@ -86,11 +86,11 @@
     def __init__(self, on_update: Callable[[], None] = lambda: None) -> None:
         self.on_update = on_update
         self.suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self.alive: OrderedDict[Start, float] = OrderedDict()
+        self.alive: OrderedDict[Incarnation, float] = OrderedDict()
         self.unsent: dict[bytes, None] = {}
-        self.unsent_alive: dict[Start, None] = {}
+        self.unsent_alive: dict[Incarnation, None] = {}
         self.own: set[bytes] = set()
-        self.reported_crashed: set[Start] = set()
+        self.reported_crashed: set[Incarnation] = set()
         self.start_times = StartTimes()
         self.lock = threading.RLock()
 
@@ -105,7 +105,7 @@
             return _assess(self.suspects.get(fingerprint), now)
 
     def record_crash(
-        self, fingerprint: bytes, incarnation: Start, now: float, listens: bool = False
+        self, fingerprint: bytes, incarnation: Incarnation, now: float, listens: bool = False
     ) -> Assessment:
         """Record that an endpoint crashed while a request was open there.
 
@@ -117,19 +117,19 @@
             return _assess(self.suspects.get(fingerprint), now)
 
     def confirm_crash(
-        self, fingerprint: bytes, incarnation: Start, at: float, next_start_time: int
+        self, fingerprint: bytes, incarnation: Incarnation, at: float, next_start_time: int
     ) -> None:
         """Record that a later incarnation replaced one that crashed while running a request."""
         with self.lock:
             crash = Crash(incarnation, at, True, next_start_time)
             self._record(Suspect(fingerprint, (crash,), seen_at=at))
 
-    def current_incarnation(self, incarnation: Start) -> Start:
+    def current_incarnation(self, incarnation: Incarnation) -> Incarnation:
         """Return the latest known incarnation; the entry of an endpoint may be outdated."""
         with self.lock:
             return self.start_times.current(incarnation)
 
-    def is_reported_crashed(self, incarnation: Start, at: float) -> bool:
+    def is_reported_crashed(self, incarnation: Incarnation, at: float) -> bool:
         """Return whether an incarnation is reported to have crashed before a time."""
         with self.lock:
             return incarnation in self.reported_crashed and bool(self._suspects_of(incarnation, at))
@@ -155,7 +155,7 @@
             if known is not None and now - known.seen_at > RETENTION_S / 2:
                 self._record(Suspect(fingerprint, seen_at=now))
 
-    def record_answer(self, incarnation: Start, now: float) -> bool:
+    def record_answer(self, incarnation: Incarnation, now: float) -> bool:
         """Record an answer; returns true if it disproves a crash that was reported earlier."""
         with self.lock:
             if incarnation not in self.reported_crashed or not self._is_retracted_by(
@@ -166,7 +166,7 @@
         self.on_update()
         return True
 
-    def retract_crash(self, incarnation: Start, now: float, start_time: int) -> None:
+    def retract_crash(self, incarnation: Incarnation, now: float, start_time: int) -> None:
         """Record that an incarnation that may have crashed still runs.
 
         :param start_time: the start time that it reports, 0 if it reports none
@@ -230,7 +230,7 @@
             if not self.suspects:
                 self.alive.clear()
 
-    def _suspects_of(self, incarnation: Start, before: float) -> list[bytes]:
+    def _suspects_of(self, incarnation: Incarnation, before: float) -> list[bytes]:
         return [
             one.fingerprint
             for one in self.suspects.values()
@@ -240,7 +240,7 @@
             )
         ]
 
-    def _is_retracted_by(self, incarnation: Start, now: float) -> bool:
+    def _is_retracted_by(self, incarnation: Incarnation, now: float) -> bool:
         """Return whether an answer of an incarnation disproves that it crashed."""
         return any(
             crash.at < now - (RESOLVED_WITHIN_S if crash.listens else LATE_ANSWER_S)
@@ -249,7 +249,7 @@
             if crash.start == incarnation and not crash.is_proven
         )
 
-    def _record_alive(self, incarnation: Start, now: float) -> None:
+    def _record_alive(self, incarnation: Incarnation, now: float) -> None:
         self._merge_alive(Living(incarnation, now))
         self.unsent_alive[incarnation] = None
 
--- a/src/threadramp/runner/engine.py
+++ b/src/threadramp/runner/engine.py
@@ -11,7 +11,7 @@
 
 from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.exchange import ExchangeError
-from threadramp.fleet.model import Endpoint, Start
+from threadramp.fleet.model import Endpoint, Incarnation
 from threadramp.platform.engine import (
     ORDER_PATH,
     REPORT_PATH,
@@ -64,9 +64,9 @@
         self.last_report_failed = False
         self.pending_order: WeightTarget | None = None
         self.pending_model = ""
-        self.superseded: Start | None = None
+        self.superseded: Incarnation | None = None
         self.reported_born = 0
-        self.known_incarnation: Start | None = None
+        self.known_incarnation: Incarnation | None = None
         self.on_new_incarnation: Callable[[], None] = lambda: None
         self.event_gaps: deque[tuple[float, float]] = deque(maxlen=MAX_GAPS)
         self.on_suspect_connections: Callable[[], None] = lambda: None
@@ -93,13 +93,13 @@
         return self.report is not None and has_id and self.incarnation != self.superseded
 
     @property
-    def incarnation(self) -> Start:
+    def incarnation(self) -> Incarnation:
         """Return the newest incarnation, by the gateways' facts and the engine's own report.
 
         An engine may restart under the same id and report that before the gateways do. If it
         restarts under another id, it refuses requests that name this one.
         """
-        return Start(self.facts.instance, max(self.facts.born, self.reported_born))
+        return Incarnation(self.facts.instance, max(self.facts.born, self.reported_born))
 
     @property
     def is_ready(self) -> bool:
@@ -136,7 +136,7 @@
         with self.lock:
             stored = self.facts
             listed = facts if facts.endpoints_revision >= stored.endpoints_revision else stored
-            if facts.instance == stored.instance and facts.start.is_older_than(stored.start):
+            if facts.instance == stored.instance and facts.start.started_before(stored.start):
                 listed = stored
             published = facts if facts.targets_revision >= stored.targets_revision else stored
             if listed.instance != stored.instance:
@@ -185,7 +185,7 @@
         self.connections.count = count
         self.control_connections.count = count
 
-    def mark_superseded(self, incarnation: Start) -> None:
+    def mark_superseded(self, incarnation: Incarnation) -> None:
         """Record that this incarnation is gone; gateways will report the next one."""
         if self.superseded != incarnation:
             self.superseded = incarnation
--- a/src/threadramp/runner/hosting.py
+++ b/src/threadramp/runner/hosting.py
@@ -27,9 +27,9 @@
 
 if TYPE_CHECKING:
     from threadramp.fleet.clock import Clock
+    from threadramp.fleet.fleet_view import FleetSnapshot, Member
     from threadramp.fleet.model import Endpoint
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.picture import Belief, Member
     from threadramp.platform.store import StoreClient
     from threadramp.report.metrics import Metrics
     from threadramp.wire.fleet import AnyAsk, AnyReply, Fact
@@ -90,7 +90,7 @@
 
     def handle(self, ask: AnyAsk) -> AnyReply:
         """Answer a request to the runner of an engine; ``Done`` if the engine is unknown."""
-        endpoint = self.peers.picture.belief.at_address(ask.engine)
+        endpoint = self.peers.fleet_view.snapshot.at_address(ask.engine)
         if endpoint is None and ask.engine not in self.hosted:
             return Done()
         return self._runner_of(ask.engine, endpoint).runner.handle(ask)
@@ -112,7 +112,7 @@
 
     def _check_engines(self) -> None:
         """Host the engines assigned to this gateway and stop runners that are no longer used."""
-        belief = self.peers.picture.belief
+        belief = self.peers.fleet_view.snapshot
         self._update_coverage(belief)
         for endpoint in engines(belief):
             if self._should_host(endpoint, belief):
@@ -123,17 +123,19 @@
                 continue
             one.runner.engine.update_facts(facts_for(one.runner.member, belief))
 
-    def _update_coverage(self, belief: Belief) -> None:
+    def _update_coverage(self, belief: FleetSnapshot) -> None:
         """Record which engines have a sidecar that is listed or has answered recently.
 
         Until the member list is loaded, no sidecar counts as missing.
         """
         now = self.clock.now()
-        if not self.peers.picture.members.known:
+        if not self.peers.fleet_view.members.is_loaded:
             self.members_known_since = now
         for one in self.peers.sidecars():
             self.sidecars[one.endpoint] = one
-            has_replied = now - self.peers.heard.get(one.address, float("-inf")) < REPLY_TTL_S
+            has_replied = (
+                now - self.peers.last_reply_at.get(one.address, float("-inf")) < REPLY_TTL_S
+            )
             if one.name in belief.members or has_replied:
                 self.last_covered_at[one.endpoint] = now
         listed = belief.by_address
@@ -141,7 +143,7 @@
             name: at for name, at in self.last_covered_at.items() if name in listed
         }
 
-    def _should_host(self, endpoint: Endpoint, belief: Belief) -> bool:
+    def _should_host(self, endpoint: Endpoint, belief: FleetSnapshot) -> bool:
         """Return whether an engine without a sidecar is to be hosted by this gateway."""
         if self.leaving or self._without_sidecar_s(endpoint.address) < NO_SIDECAR_S:
             return False
@@ -185,7 +187,7 @@
 
     def _may_take_lock(self, address: str) -> bool:
         """Return whether an engine is assigned to this gateway and its sidecar does not answer."""
-        belief = self.peers.picture.belief
+        belief = self.peers.fleet_view.snapshot
         endpoint = belief.at_address(address)
         if endpoint is None or not self._should_host(endpoint, belief):
             return False
@@ -200,8 +202,8 @@
         )
         return not answers
 
-    def _sidecar_answers(self, sidecar: Member, belief: Belief) -> bool:
-        beat = Beat(*self.peers.myself, facts_for(sidecar, belief))
+    def _sidecar_answers(self, sidecar: Member, belief: FleetSnapshot) -> bool:
+        beat = Beat(*self.peers.sender_fields, facts_for(sidecar, belief))
         return self.peers.ask(sidecar.address, beat, PROBE_TIMEOUT_S) is not None
 
     def _stop_runner(self, engine: str) -> None:
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -7,14 +7,14 @@
 
 from urllib3.exceptions import HTTPError
 
-from threadramp.core.lot_book import RunOutcome
+from threadramp.core.lot_tracker import RunOutcome
 from threadramp.edge.exchange import (
     ExchangeError,
     is_connection_error,
     iter_body,
     streamed_response,
 )
-from threadramp.lots.names import given_name
+from threadramp.lots.scoped_ids import unscoped_id
 from threadramp.platform.headers import OTHER_INSTANCE_STATUS, read_answer, sample_headers
 from threadramp.report.log import log_state
 from threadramp.runner.crash_detection import has_crashed
@@ -85,7 +85,7 @@
 
     def _execute(self) -> None:
         endpoint = self.engine.endpoint()
-        request_id = given_name(self.run.order.sample.id)
+        request_id = unscoped_id(self.run.order.sample.id)
         now = self.clock.now()
         exchange = self.engine.connections.acquire(
             endpoint, now, CONNECT_TIMEOUT_S, request_id=request_id
@@ -119,7 +119,7 @@
         order = self.run.order
         headers = sample_headers(
             (*order.sample.headers, ("Host", order.host)),
-            given_name(order.sample.id),
+            unscoped_id(order.sample.id),
             max(1.0, order.give_up_in_s),
             self.incarnation.instance,
             self.run.event_count,
@@ -179,7 +179,7 @@
             self._finish(self._outcome_of_break(True), "the stream ended within an event")
             return
         self.engine.release_connection(exchange, streamed_response(response))
-        self._finish(RunOutcome.WHOLE, "")
+        self._finish(RunOutcome.COMPLETE, "")
 
     def _add_event(self, event: Event) -> bool:
         """Add one event to the run; false if the run is over."""
--- a/src/threadramp/serve/answers.py
+++ b/src/threadramp/serve/answers.py
@@ -36,10 +36,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.duties.turns import Duties
+    from threadramp.duties.duty_loop import DutyLoop
     from threadramp.fleet.crash_sharing import CrashSharing
     from threadramp.fleet.peers import Peers
-    from threadramp.fleet.relaying import StoreCalls
+    from threadramp.fleet.relaying import StoreRelay
     from threadramp.lots.owner import LotOwner
     from threadramp.lots.reading import LotReader
     from threadramp.runner.hosting import HostedRunners
@@ -57,11 +57,11 @@
         peers: Peers,
         owner: LotOwner,
         reader: LotReader,
-        store_calls: StoreCalls,
+        store_calls: StoreRelay,
         hosting: HostedRunners | None = None,
         beliefs: Beliefs | None = None,
         crashes: CrashSharing | None = None,
-        duties: Duties | None = None,
+        duties: DutyLoop | None = None,
     ) -> None:
         self.beliefs = beliefs or Beliefs()
         self.hosting = hosting
@@ -70,9 +70,9 @@
         self.reader = reader
         self.store_calls = store_calls
         self.by_kind: dict[type, Callable[[Any], AnyReply]] = {
-            MirrorBeat: lambda ask: peers.sharing.copy_for(ask),
+            MirrorBeat: lambda ask: peers.mirror_sync.copy_for(ask),
             MirrorChanges: self._take_changes,
-            FindLot: lambda ask: reader.elsewhere.find_for_peer(ask),
+            FindLot: lambda ask: reader.remote_lots.find_for_peer(ask),
             ReadLot: lambda ask: reader.page_for_peer(ask),
             ReadBody: lambda ask: reader.body_for_peer(ask),
             EndLot: self._end,
@@ -83,11 +83,11 @@
         if store_calls is not None:
             self.by_kind[CallStore] = store_calls.answer
         if crashes is not None:
-            self.by_kind[CrashesTold] = crashes.heard
+            self.by_kind[CrashesTold] = crashes.receive
             self.by_kind[Acquit] = crashes.acquit
         if duties is not None:
-            self.by_kind[ReadUsage] = duties.collecting.counting.answer
-            self.by_kind[UsageLeft] = duties.take_last
+            self.by_kind[ReadUsage] = duties.collector.counter.answer
+            self.by_kind[UsageLeft] = duties.receive_final_counts
         if hosting is not None:
             self.by_kind |= dict.fromkeys(OF_RUNNERS, hosting.handle)
 
@@ -97,11 +97,11 @@
         return answer(ask) if answer is not None else Done()
 
     def _take_changes(self, ask: MirrorChanges) -> Done:
-        self.peers.sharing.take_changes(ask)
+        self.peers.mirror_sync.apply_changes(ask)
         return Done()
 
     def _end_kept(self, ask: EndKept) -> LotEnded:
-        runs_here = self.owner.ended_elsewhere(ask.kept)
+        runs_here = self.owner.apply_end(ask.kept)
         return LotEnded(runs_here, runs_here)
 
     def _adopt(self, ask: Adopt) -> Done:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -6,11 +6,11 @@
 from dataclasses import asdict
 from random import Random
 
-from threadramp.duties.collecting import UsageCollecting, UsageCounting
-from threadramp.duties.demand import DemandCounting
-from threadramp.duties.holding import DutyHolding
+from threadramp.duties.collecting import UsageCollector, UsageCounter
+from threadramp.duties.demand import DemandCounter
+from threadramp.duties.duty_lock import DutyLock
+from threadramp.duties.duty_loop import DutyLoop
 from threadramp.duties.scale_orders import ScaleOrders
-from threadramp.duties.turns import Duties
 from threadramp.duties.usage_reports import UsageReports
 from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.crash_guard import CrashGuard
@@ -19,26 +19,32 @@
 from threadramp.edge.handler import EdgeHandler
 from threadramp.edge.server import EdgeServer
 from threadramp.edge.streaming import StreamForwarder
+from threadramp.fleet.box_retirement import BoxRetirement
 from threadramp.fleet.clock import Clock, steady_s
 from threadramp.fleet.crash_sharing import CrashSharing
-from threadramp.fleet.emptying import Emptying
+from threadramp.fleet.fleet_view import MEMBER_PREFIX, FleetView, Member
 from threadramp.fleet.membership import RENEW_S, WATCHER_RENEW_S, Membership
 from threadramp.fleet.model import CallerLimits
 from threadramp.fleet.peers import Peers
-from threadramp.fleet.picture import MEMBER_PREFIX, Member, Picture
-from threadramp.fleet.relaying import StoreCalls
+from threadramp.fleet.relaying import StoreRelay
 from threadramp.fleet.store_health import StoreHealth
-from threadramp.fleet.watcher import GATHER_S, WATCH_WAIT_S, Watcher, gather_s, watch_wait_s
-from threadramp.lots.appending import Appending
+from threadramp.fleet.watcher import (
+    BATCH_WINDOW_S,
+    WATCH_WAIT_S,
+    Watcher,
+    batch_window_s,
+    watch_wait_s,
+)
+from threadramp.lots.appending import ResultAppender
 from threadramp.lots.audit import LotAudit
 from threadramp.lots.checkpoints import Checkpoints
-from threadramp.lots.crashing_samples import SampleGuard
+from threadramp.lots.crashing_samples import SampleCrashGuard
+from threadramp.lots.dispatcher import SampleDispatcher
 from threadramp.lots.end_notices import EndNotices
 from threadramp.lots.journal import LotJournal
 from threadramp.lots.owned import OwnedLots
 from threadramp.lots.owner import LotOwner
 from threadramp.lots.reading import LotReader
-from threadramp.lots.runners import Runners
 from threadramp.lots.scoring import Scoring
 from threadramp.platform.duty_calls import DutyCalls
 from threadramp.platform.store import StoreClient
@@ -120,7 +126,7 @@
             time.sleep(STOP_LOOK_S)
         if self.duties is not None:
             until = max(last, steady_s() + LEAVE_S)
-            in_background(lambda: self.duties.tell_last(until)).join(until - steady_s())
+            in_background(lambda: self.duties.send_final_counts(until)).join(until - steady_s())
         in_background(self.membership.leave).join(LEAVE_S)
 
     def _wait_until_quiet(self, least: float, most: float) -> None:
@@ -142,8 +148,10 @@
         address = f"{own.ip}:{own.peer_port}"
         self.member = Member(own.name, "gateway", self.incarnation, address, own.data_centre, "")
         self.metrics = Metrics("threadramp")
-        self.picture = Picture()
-        self.picture.readings.on_unreadable = lambda kind: self.metrics.count("unreadable", kind)
+        self.picture = FleetView()
+        self.picture.decode_cache.on_unreadable = lambda kind: self.metrics.count(
+            "unreadable", kind
+        )
         health = StoreHealth(clock)
         client = SyncClient(Packing(), decode_reply, redial=True)
         self.peers = Peers(self.member, self.picture, client, health, clock)
@@ -152,14 +160,16 @@
         store = StoreClient(own.store.address, self.peers.relay, health.observe, count=tally.note)
         self.membership = Membership(self.member, store, own.store.lease_min_s)
         self.membership.renew_s = self._renew_s
-        self.peers.on_unlisted = self.membership.not_listed
+        self.peers.on_unlisted = self.membership.mark_unlisted
         self.peers.list_members = lambda: store.list(MEMBER_PREFIX)
         self.watchers = self._new_watchers(store, health, clock)
         store.on_silence.append(self._note_silence)
-        self.emptying = Emptying(self.member.name, self.picture, store)
+        self.emptying = BoxRetirement(self.member.name, self.picture, store)
         book = CrashTracker()
         self.crashes = CrashSharing(book, self.peers, store, health, clock, self.member.name)
-        self.guard = CrashGuard(book, clock, self.picture, self.crashes.claim, self.metrics.count)
+        self.guard = CrashGuard(
+            book, clock, self.picture, self.crashes.claim_trial, self.metrics.count
+        )
         self.true_time = TrueTime(clock)
         self._build_lots(store, clock)
         self.duties = self._new_duties(store, clock)
@@ -175,20 +185,20 @@
             self.peers,
             self.owner,
             self.reader,
-            StoreCalls(store, health),
+            StoreRelay(store, health),
             self.hosting,
             self._beliefs(clock),
             self.crashes,
             self.duties,
         )
 
-    def _new_duties(self, store: StoreClient, clock: Clock) -> Duties | None:
+    def _new_duties(self, store: StoreClient, clock: Clock) -> DutyLoop | None:
         """Return this gateway's part in the fleet's duties, none where the platform takes none."""
         own = self.settings
         if self.counting is None:
             return None
-        collecting = UsageCollecting(self.peers, self.counting, self.true_time)
-        holding = DutyHolding(
+        collecting = UsageCollector(self.peers, self.counting, self.true_time)
+        holding = DutyLock(
             self.picture,
             store,
             own.name,
@@ -198,12 +208,12 @@
         )
         schedule = UsageSchedule(own.bounds.usage_window_s, own.bounds.usage_late_s)
         calls = DutyCalls(own.duties.address, own.name)
-        right = holding.right
+        right = holding.lock
         reports = UsageReports(
             right, store, calls, collecting, schedule, self.true_time, self.metrics
         )
         scale = ScaleOrders(right, calls, collecting, self.picture, self.metrics)
-        return Duties(
+        return DutyLoop(
             self.peers,
             holding,
             collecting,
@@ -211,13 +221,13 @@
             scale if own.duties.takes_scale else None,
         )
 
-    def _new_counting(self) -> UsageCounting | None:
+    def _new_counting(self) -> UsageCounter | None:
         """Return what counts requests for their organisations, none where nobody asks for it."""
         own = self.settings
         if own.duties is None or not (own.duties.takes_usage or own.duties.takes_scale):
             return None
         window_s = own.bounds.usage_window_s
-        return UsageCounting(window_s, self.true_time, own.name, self.incarnation)
+        return UsageCounter(window_s, self.true_time, own.name, self.incarnation)
 
     def _beliefs(self, clock: Clock) -> Beliefs:
         """Return what tells an operator what this process believes."""
@@ -235,19 +245,19 @@
         """Return a watcher for each mirror; only changes of members are not bounded."""
         bounds = self.settings.bounds
         bounded_s = watch_wait_s(bounds.contact_s)
-        endpoints_s = gather_s(bounds.drain_s)
+        endpoints_s = batch_window_s(bounds.drain_s)
         return [
             Watcher(
                 one,
                 store,
                 health,
                 clock,
-                gathers=one is not self.picture.operator,  # bounds on its changes are short
+                batches=one is not self.picture.operator,  # bounds on its changes are short
                 wait_s=WATCH_WAIT_S if one is self.picture.members else bounded_s,
-                gather_s=endpoints_s if one is self.picture.endpoints else GATHER_S,
-                follows=self.peers.following.follows,
-                spread=self.peers.spread,
-                peer_is_served=self.peers.following.peer_is_served,
+                batch_window_s=endpoints_s if one is self.picture.endpoints else BATCH_WINDOW_S,
+                follows=self.peers.watch_delegation.follows,
+                push_changes=self.peers.push_changes,
+                peer_reaches_store=self.peers.watch_delegation.peer_reaches_store,
             )
             for one in self.picture.mirrors
         ]
@@ -271,11 +281,11 @@
         self.picture.endpoints.listeners.append(forwarder.drop_unlisted)
         owned = OwnedLots()
         if self.counting is not None:
-            self.counting.open = DemandCounting(self.picture, forwarder.choice, owned).open
+            self.counting.open = DemandCounter(self.picture, forwarder.choice, owned).open
         journal = LotJournal(store)
         scoring = Scoring(owned, self.picture, forwarder, clock)
-        self.runners = Runners(
-            owned, self.peers, clock, scoring.begin, SampleGuard(self.guard, owned)
+        self.runners = SampleDispatcher(
+            owned, self.peers, clock, scoring.begin, SampleCrashGuard(self.guard, owned)
         )
         self.checkpoints = Checkpoints(owned, store, self.incarnation)
         self.end_notices = EndNotices(self.peers, clock)
@@ -286,18 +296,18 @@
             clock,
             self.runners.drop,
             self.checkpoints,
-            self.end_notices.tell,
+            self.end_notices.notify,
             LISTINGS[self.own.lots.listing](),
         )
         self.audit = LotAudit(self.owner, self.settings.bounds.status_s)
         self.reader = LotReader(owned, self.owner, journal, self.peers, clock)
-        self.appending = Appending(
+        self.appending = ResultAppender(
             owned,
             journal,
             clock,
             self.owner.release,
             self.metrics,
-            lambda model: self.picture.belief.newest_version(model),
+            lambda model: self.picture.snapshot.newest_version(model),
         )
         self.handler = EdgeHandler(
             self.picture,
@@ -312,11 +322,11 @@
 
     def _renew_s(self) -> float:
         """Return the seconds between renewals: gateways that follow this one go by them."""
-        return WATCHER_RENEW_S if self.peers.following.followers() else RENEW_S
+        return WATCHER_RENEW_S if self.peers.watch_delegation.followers() else RENEW_S
 
     def _keep_limits(self) -> None:
         """Hold callers to the limits of the configuration in force."""
-        configuration = self.picture.belief.configuration
+        configuration = self.picture.snapshot.configuration
         if configuration is not None and configuration.limits != self.callers.limits:
             self.callers.set_limits(configuration.limits)
             log_state(
--- a/src/threadramp/wire/runner.py
+++ b/src/threadramp/wire/runner.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from threadramp.fleet.model import Start, WeightTarget
-from threadramp.lots.model import USUAL_RANK, Sample
+from threadramp.fleet.model import Incarnation, WeightTarget
+from threadramp.lots.model import DEFAULT_RANK, Sample
 from threadramp.policy.load_schedule import LoadSchedule
 
 ANY_MODEL = "*"  # where weights change and it is not known of which model
@@ -37,9 +37,9 @@
     born: int = 0
 
     @property
-    def start(self) -> Start:
+    def start(self) -> Incarnation:
         """Return the current start of the sidecar's endpoint."""
-        return Start(self.instance, self.born)
+        return Incarnation(self.instance, self.born)
 
 
 class RunnerStatus(msgspec.Struct, frozen=True, array_like=True):
@@ -87,7 +87,7 @@
     new_lineage: str
     due: float
     give_up_in_s: float
-    rank: int = USUAL_RANK
+    rank: int = DEFAULT_RANK
     model: str = ""
     organisation: str | None = None
 
@@ -109,7 +109,7 @@
     versions: tuple[int, ...]
     lineage: str
     outcome: str
-    start: Start = Start("")
+    start: Incarnation = Incarnation("")
 
 
 def is_changing(loading: str, model: str) -> bool:
--- a/tests/duties/test_collecting.py
+++ b/tests/duties/test_collecting.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from threadramp.duties.collecting import UsageCollecting, UsageCounting
-from threadramp.fleet.picture import Member
+from threadramp.duties.collecting import UsageCollector, UsageCounter
+from threadramp.fleet.fleet_view import Member
 from threadramp.policy.true_time import RELIABLE_AFTER_S, TrueTime
 from threadramp.policy.usage_windows import RETAINED_WINDOWS
 from threadramp.wire.fleet import ReadUsage
@@ -15,32 +15,32 @@
 
 
 class Others:
-    """One other gateway, which answers or not."""
+    """One other gateway, which may not answer."""
 
-    def __init__(self, clock, counting) -> None:
+    def __init__(self, clock, counter) -> None:
         self.clock = clock
-        self.counting = counting
+        self.counter = counter
         self.member = Member("me", "gateway", "i1", "10.0.0.1:7720", "a", "")
-        self.myself = ("me", "10.0.0.1:7720")
+        self.sender_fields = ("me", "10.0.0.1:7720")
         self.answers = True
-        self.picture = self
-        self.belief = self
+        self.fleet_view = self
+        self.snapshot = self
 
     def gateways(self):
         return [self.member, OTHER]
 
-    def gateways_lately(self):
+    def recent_gateways(self):
         return [OTHER]
 
     def ask_all(self, asks, timeout_s):
         if not self.answers:
             return {}
-        return {address: self.counting.answer(ask) for address, ask in asks.items()}
+        return {address: self.counter.answer(ask) for address, ask in asks.items()}
 
 
 @pytest.fixture
-def other(clock) -> UsageCounting:
-    return UsageCounting(WINDOW_S, TrueTime(clock), "other", "i2")
+def other(clock) -> UsageCounter:
+    return UsageCounter(WINDOW_S, TrueTime(clock), "other", "i2")
 
 
 @pytest.fixture
@@ -49,66 +49,68 @@
 
 
 @pytest.fixture
-def collecting(clock, peers) -> UsageCollecting:
+def collector(clock, peers) -> UsageCollector:
     true_time = TrueTime(clock)
-    return UsageCollecting(peers, UsageCounting(WINDOW_S, true_time, "me", "i1"), true_time)
+    return UsageCollector(peers, UsageCounter(WINDOW_S, true_time, "me", "i1"), true_time)
 
 
-def test_counts_of_both_come_together(clock, collecting, other):
-    window = collecting.counting.book.window_at(collecting.true_time.now())
-    collecting.counting.began("acme", clock.now())
-    other.began("acme", clock.now())
-    other.began(None, clock.now())
-    other.began("", clock.now())
-    assert collecting.round() == 1
-    assert collecting.total(window) == {"acme": 2}
+def test_counts_of_both_gateways_are_added(clock, collector, other):
+    window = collector.counter.windows.window_at(collector.true_time.now())
+    collector.counter.count_sent("acme", clock.now())
+    other.count_sent("acme", clock.now())
+    other.count_sent(None, clock.now())
+    other.count_sent("", clock.now())
+    assert collector.round() == 1
+    assert collector.total(window) == {"acme": 2}
 
 
-def test_one_that_does_not_answer_is_missed(clock, collecting, peers):
+def test_a_gateway_that_does_not_answer_is_missed(clock, collector, peers):
     clock.at += RELIABLE_AFTER_S
-    since = collecting.true_time.now() - 1.0
-    collecting.round()
-    assert collecting.all_told(since)
+    since = collector.true_time.now() - 1.0
+    collector.round()
+    assert collector.all_answered(since)
     peers.answers = False
     clock.at += 5.0
     for rounds in (1, 2):
-        collecting.round()
-        assert collecting.unanswered == {"other": rounds}
-    assert not collecting.all_told(since + 5.0)
+        collector.round()
+        assert collector.missed_rounds == {"other": rounds}
+    assert not collector.all_answered(since + 5.0)
 
 
-def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collecting, other):
-    """It kept all of them: only the holder forgot, by what it had reported."""
+def test_a_collector_that_reports_nothing_forgets_old_windows_too(clock, collector, other):
+    """It kept all of them: only the holder dropped windows, depending on its reports."""
     for _ in range(4 * RETAINED_WINDOWS):
-        other.began("acme", clock.now())
-        collecting.round()
+        other.count_sent("acme", clock.now())
+        collector.round()
         clock.at += WINDOW_S
-    kept = {window for told in collecting.table.processes.values() for window in told.windows}
-    assert len(kept) <= RETAINED_WINDOWS + 1
+    windows = {
+        window for reported in collector.table.processes.values() for window in reported.windows
+    }
+    assert len(windows) <= RETAINED_WINDOWS + 1
 
 
 @pytest.mark.parametrize("ahead", [-7.0, 7.0])
-def test_what_was_counted_before_the_time_was_known_is_counted_where_it_belongs(clock, ahead):
-    """A box serves calls at once, and hears from others only later that its clock is off."""
-    counting = counting_of_a_box_that_is(ahead, clock)
-    window = counting.book.window_at(clock.time_of_day())
+def test_requests_counted_before_the_time_was_known_move_to_their_windows(clock, ahead):
+    """A box serves calls at once, and learns from others only later that its clock is off."""
+    counter = counter_of_a_box_that_is(ahead, clock)
+    window = counter.windows.window_at(clock.time_of_day())
     for _ in range(3):
-        counting.began("acme", clock.now())
-    counting.did_not_begin("acme", clock.now())
+        counter.count_sent("acme", clock.now())
+    counter.uncount("acme", clock.now())
     clock.at += 0.5
-    assert not counting.answer(ask_of("first", clock)).is_sure
-    told = counting.answer(ask_of("second", clock))
-    assert told.is_sure
-    assert told.windows[window] == {"acme": 2}
-    assert told.windows.get(counting.book.window_at(clock.time_of_day() + ahead), {}) == {}
+    assert not counter.answer(ask_of("first", clock)).is_sure
+    reported = counter.answer(ask_of("second", clock))
+    assert reported.is_sure
+    assert reported.windows[window] == {"acme": 2}
+    assert reported.windows.get(counter.windows.window_at(clock.time_of_day() + ahead), {}) == {}
 
 
-def counting_of_a_box_that_is(ahead: float, clock) -> UsageCounting:
+def counter_of_a_box_that_is(ahead: float, clock) -> UsageCounter:
     truth = clock.time_of_day
     clock.time_of_day = lambda: truth() + ahead
-    counting = UsageCounting(WINDOW_S, TrueTime(clock), "off", "i3")
+    counter = UsageCounter(WINDOW_S, TrueTime(clock), "off", "i3")
     clock.time_of_day = truth
-    return counting
+    return counter
 
 
 def ask_of(name: str, clock) -> ReadUsage:
@@ -116,12 +118,12 @@
 
 
 def test_a_collector_whose_own_clock_was_ahead_waits_for_answers_as_any_other(clock, peers):
-    """It took what others told before a window was settled for all of it."""
+    """It took counts reported before a window was settled for the complete counts."""
     truth = clock.time_of_day
     clock.time_of_day = lambda: truth() + 7.0
     true_time = TrueTime(clock)
     clock.time_of_day = truth
-    collecting = UsageCollecting(peers, UsageCounting(WINDOW_S, true_time, "me", "i1"), true_time)
+    collector = UsageCollector(peers, UsageCounter(WINDOW_S, true_time, "me", "i1"), true_time)
     ask_all = peers.ask_all
 
     def asked_all(asks, timeout_s):
@@ -130,18 +132,18 @@
 
     peers.ask_all = asked_all
     clock.at += RELIABLE_AFTER_S
-    collecting.round()
-    assert not collecting.all_told(truth() + 1.0)
+    collector.round()
+    assert not collector.all_answered(truth() + 1.0)
     clock.at += 1.1
-    collecting.round()
-    assert collecting.all_told(truth() - 0.1)
+    collector.round()
+    assert collector.all_answered(truth() - 0.1)
 
 
-def test_an_answer_of_one_that_may_still_move_requests_is_not_waited_for_in_vain(clock, collecting):
-    """Two gateways alone never hear of a third; after a while what they tell counts."""
-    since = collecting.true_time.now() - 0.1
-    collecting.round()
-    assert not collecting.all_told(since)
+def test_counts_of_two_gateways_without_a_third_are_final_after_a_while(clock, collector):
+    """Two gateways alone never hear from a third; after a while their counts are accepted."""
+    since = collector.true_time.now() - 0.1
+    collector.round()
+    assert not collector.all_answered(since)
     clock.at += RELIABLE_AFTER_S
-    collecting.round()
-    assert collecting.all_told(since)
+    collector.round()
+    assert collector.all_answered(since)
--- a/tests/edge/test_connection_breaks.py
+++ b/tests/edge/test_connection_breaks.py
@@ -12,9 +12,9 @@
     timed_probe,
 )
 from threadramp.edge.endpoint_probe import EndpointState
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 
-START = Start("i-0", 1)
+START = Incarnation("i-0", 1)
 
 
 def make_break(count_open, own_open: int = 0) -> BrokenExchange:
--- a/tests/edge/test_crash_guard.py
+++ b/tests/edge/test_crash_guard.py
@@ -17,8 +17,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
-from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind, Start
-from threadramp.fleet.picture import Belief, Picture
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
+from threadramp.fleet.model import Endpoint, Incarnation, PoolShare, Route, RouteKind
 from threadramp.platform.standins.crashing import CrashingEndpoint
 from threadramp.policy.crash_tracker import TRIAL_DELAYS_S, SuspicionLevel
 from threadramp.policy.endpoint_choice import EndpointSelector
@@ -32,7 +32,7 @@
     """One gateway's forwarder and a pool whose endpoints stay down after a crash."""
 
     def __init__(self) -> None:
-        self.picture = Picture()
+        self.picture = FleetView()
         self.standins = [CrashingEndpoint(f"c{n}", back_s=60.0) for n in range(ENDPOINT_COUNT)]
         self.list_all()
         self.forwarder = Forwarder(
@@ -46,7 +46,7 @@
             one.instance: Endpoint(one.instance, "p", one.address, "a", 6, leaving)
             for one in self.standins
         }
-        self.picture.belief = Belief(endpoints=rows)
+        self.picture.snapshot = FleetSnapshot(endpoints=rows)
 
     def run(self, target="/crashes", attempts=5, target_s=1.0, kind=RouteKind.REPEATABLE):
         route = Route("r", "h", "/", kind, (PoolShare("p", 1.0),), 2.0, target_s, attempts)
@@ -191,10 +191,10 @@
     for one in pool.standins:
         one.engine.faults["hold_s"] = 0.0
     for one in pool.standins[:2]:
-        pool.guard.record_crash("id", _fingerprint("/calm"), Start(f"i-before-{one.name}"))
+        pool.guard.record_crash("id", _fingerprint("/calm"), Incarnation(f"i-before-{one.name}"))
     assert pool.verdict("/calm") is SuspicionLevel.ISOLATED
     for one in pool.standins:
-        assert pool.guard.isolate(Start(one.instance))
+        assert pool.guard.isolate(Incarnation(one.instance))
     assert pool.run("/calm").ending is Ending.ANSWERED
     assert pauses == [REJECTION_PAUSE_S] * MAX_REJECTION_ROUNDS
     assert pool.verdict("/calm") is SuspicionLevel.NONE
--- a/tests/edge/test_crash_resolver.py
+++ b/tests/edge/test_crash_resolver.py
@@ -7,13 +7,13 @@
 import pytest
 
 from threadramp.edge.crash_resolver import MAX_PENDING, CrashResolver
-from threadramp.fleet.model import Start
+from threadramp.fleet.model import Incarnation
 from threadramp.policy.crash_tracker import CrashTracker, SuspicionLevel
 
 START_TIME_MS = 1_700_000_000_000
 ONE = b"one-request-0000"
 OTHER = b"other-request-00"
-START = Start("i-0", START_TIME_MS)
+START = Incarnation("i-0", START_TIME_MS)
 
 
 class FakeEndpoint:
@@ -74,7 +74,7 @@
     """The next incarnation, under another id, was taken for the previous one being alive."""
     book, endpoint = CrashTracker(), FakeEndpoint(0, 0, 0)
     endpoint.clock = clock
-    start = Start("i-0")
+    start = Incarnation("i-0")
     replaced_at = clock.now() + 1.0
     resolver = CrashResolver(
         book,
@@ -88,7 +88,7 @@
     resolver._resolve(start, "127.0.0.1:1")
     for seconds in (0.0, 60.0):
         clock.at += seconds
-        book.record_answer(Start("i-1"), clock.time_of_day())
+        book.record_answer(Incarnation("i-1"), clock.time_of_day())
         assert book.assess(ONE, clock.time_of_day()).crashes == 1
 
 
@@ -129,7 +129,7 @@
         CrashTracker(), clock, lambda address: 0, lambda seconds: go_on.wait(5.0)
     )
     for number in range(MAX_PENDING + 9):
-        resolver.resolve(Start(f"i-{number}", START_TIME_MS), "127.0.0.1:1", ONE)
+        resolver.resolve(Incarnation(f"i-{number}", START_TIME_MS), "127.0.0.1:1", ONE)
     assert len(resolver.pending) == MAX_PENDING
     go_on.set()
 
--- a/tests/edge/test_echoed_request.py
+++ b/tests/edge/test_echoed_request.py
@@ -11,8 +11,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
@@ -26,8 +26,10 @@
         return response(body, X_Attempt_Id=header_of(request, "X-Attempt-Id"), X_Server_Stamp="s")
 
     endpoint = Stutterer(answer, "soon")
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(
+        endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
+    )
     forwarder = Forwarder(
         picture, ConnectionPool(), EndpointSelector(Random(1)), RetryBudget(), Clock()
     )
--- a/tests/edge/test_forward.py
+++ b/tests/edge/test_forward.py
@@ -13,8 +13,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.platform.standins.endpoint import PlatformEngine
 from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
@@ -26,7 +26,7 @@
     def __init__(self, serve):
         self.serve = serve
         self.request_count = 0
-        self.fleet_view = Picture()
+        self.fleet_view = FleetView()
         self.connections = ConnectionPool()
         self.standins: list[PlatformEngine] = []
         self.endpoints: dict[str, Endpoint] = {}
@@ -41,7 +41,7 @@
         self.standins.append(standin)
         place = address or self.serve(standin)
         self.endpoints[instance] = Endpoint(instance, "p", place, "a", 6)
-        self.fleet_view.belief = Belief(endpoints=dict(self.endpoints))
+        self.fleet_view.snapshot = FleetSnapshot(endpoints=dict(self.endpoints))
         return standin
 
     def run(self, kind=RouteKind.REPEATABLE, attempts=3, time_s=2.0, target_s=1.0, **more):
@@ -189,7 +189,7 @@
     pool.add()
     pool.run()
     assert pool.connections.idle and pool.choice.records
-    pool.fleet_view.belief = Belief()
+    pool.fleet_view.snapshot = FleetSnapshot()
     pool.forwarder.drop_unlisted()
     assert not pool.connections.idle
     assert not pool.choice.records
@@ -207,7 +207,7 @@
     """List the first endpoint as another incarnation with the same id."""
     again = replace(pool.endpoints["i-0"], born=born)
     pool.endpoints["i-0"] = again
-    pool.fleet_view.belief = Belief(endpoints=dict(pool.endpoints))
+    pool.fleet_view.snapshot = FleetSnapshot(endpoints=dict(pool.endpoints))
 
 
 def test_records_of_an_incarnation_do_not_apply_to_the_next_one(pool):
@@ -225,7 +225,7 @@
     """With only one endpoint, the caller waited in vain until its deadline."""
     dead = pool.add()
     pool.endpoints["i-0"] = replace(pool.endpoints["i-0"], address="127.0.0.1:1")
-    pool.fleet_view.belief = Belief(endpoints=dict(pool.endpoints))
+    pool.fleet_view.snapshot = FleetSnapshot(endpoints=dict(pool.endpoints))
     choose = pool.choice.choose
 
     def once_it_failed(endpoints, tried, now):
@@ -233,8 +233,8 @@
             pool.endpoints["i-0"] = replace(
                 pool.endpoints["i-0"], address=pool.serve(dead), born=2000
             )
-            pool.fleet_view.belief = Belief(endpoints=dict(pool.endpoints))
-        return choose(pool.fleet_view.belief.in_pool("p"), tried, now)
+            pool.fleet_view.snapshot = FleetSnapshot(endpoints=dict(pool.endpoints))
+        return choose(pool.fleet_view.snapshot.in_pool("p"), tried, now)
 
     pool.choice.choose = once_it_failed
     assert pool.run().ending is Ending.ANSWERED
--- a/tests/edge/test_mixed_responses.py
+++ b/tests/edge/test_mixed_responses.py
@@ -13,8 +13,8 @@
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
+from threadramp.fleet.fleet_view import FleetSnapshot, FleetView
 from threadramp.fleet.model import Endpoint, PoolShare, Route, RouteKind
-from threadramp.fleet.picture import Belief, Picture
 from threadramp.policy.endpoint_choice import EndpointSelector
 from threadramp.policy.retries import RetryBudget
 
@@ -62,8 +62,10 @@
 @pytest.mark.parametrize("ends", [False, True], ids=["goes on", "cut short"])
 def test_a_body_filled_up_by_another_response_is_not_passed_on(headers_of_other, own_bytes, ends):
     endpoint = MixingEndpoint(headers_of_other, own_bytes, ends)
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(
+        endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
+    )
     connections = ConnectionPool()
     forwarder = Forwarder(picture, connections, EndpointSelector(Random(1)), RetryBudget(), Clock())
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
@@ -97,8 +99,10 @@
 def test_a_truncated_response_filled_up_by_its_own_copy_is_not_passed_on(own_bytes):
     """On a new connection, in one segment."""
     endpoint = TruncatingEndpoint(own_bytes)
-    picture = Picture()
-    picture.belief = Belief(endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)})
+    picture = FleetView()
+    picture.snapshot = FleetSnapshot(
+        endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
+    )
     forwarder = Forwarder(
         picture, ConnectionPool(), EndpointSelector(Random(1)), RetryBudget(), Clock()
     )
--- a/tests/runner/test_hosting.py
+++ b/tests/runner/test_hosting.py
@@ -12,8 +12,8 @@
 
 import pytest
 
+from threadramp.fleet.fleet_view import FleetSnapshot, Member
 from threadramp.fleet.model import Endpoint
-from threadramp.fleet.picture import Belief, Member
 from threadramp.runner.hosting import NO_SIDECAR_S, HostedRunners
 
 ENGINE = Endpoint("i-1", "p", "10.0.0.9:80", "a", 6)
@@ -21,16 +21,18 @@
 
 @pytest.fixture
 def members():
-    return SimpleNamespace(known=False)
+    return SimpleNamespace(is_loaded=False)
 
 
 @pytest.fixture
 def hosting(clock, members) -> HostedRunners:
     gateway = Member("front-0", "gateway", "i", "10.0.0.1:1", "a", "")
     peers = SimpleNamespace(
-        picture=SimpleNamespace(members=members, belief=Belief(endpoints={"i-1": ENGINE})),
+        fleet_view=SimpleNamespace(
+            members=members, snapshot=FleetSnapshot(endpoints={"i-1": ENGINE})
+        ),
         member=gateway,
-        heard={},
+        last_reply_at={},
         sidecars=list,
         live_gateways=lambda: [gateway],
     )
@@ -38,7 +40,7 @@
 
 
 def should_host(hosting: HostedRunners) -> bool:
-    belief = hosting.peers.picture.belief
+    belief = hosting.peers.fleet_view.snapshot
     hosting._update_coverage(belief)
     return hosting._should_host(ENGINE, belief)
 
@@ -54,7 +56,7 @@
 ):
     clock.at += 10.0
     assert not should_host(hosting)
-    members.known = True
+    members.is_loaded = True
     clock.at += NO_SIDECAR_S - 0.1
     assert not should_host(hosting)
     clock.at += 0.2
--- a/tests/runner/test_weight_loader.py
+++ b/tests/runner/test_weight_loader.py
@@ -19,17 +19,17 @@
     """An engine lock that is held under a given token."""
 
     def __init__(self, number: int = 10):
-        self.number = number
-        self.shared = False
+        self.fencing_token = number
+        self.had_previous_holder = False
         self.proven = True
 
-    def proven_number(self) -> int:
-        return self.number
+    def verified_token(self) -> int:
+        return self.fencing_token
 
-    def still_proven(self) -> bool:
+    def is_verified(self) -> bool:
         return self.proven
 
-    def shown_ago_s(self) -> float:
+    def verified_ago_s(self) -> float:
         return 0.0
 
 
@@ -74,7 +74,7 @@
     sidecar_engine.update_facts(facts(version=2))
     until = time.monotonic() + LoadSchedule({"m": 0}).freshness_s(1) + 0.5
     turn_until(weights, lambda: time.monotonic() > until)
-    lock.number = 10
+    lock.fencing_token = 10
     turn_until(weights, lambda: engine.versions["m"] == 2)
     assert len(engine.orders) == 1
 
@@ -122,7 +122,7 @@
     weights.run_once()
     assert engine.orders == []
     assert sidecar_engine.is_ready  # samples continue meanwhile
-    lock.number = 50
+    lock.fencing_token = 50
     turn_until(weights, lambda: engine.orders)
     assert engine.orders[0]["fence"] == 50
 
@@ -219,7 +219,7 @@
 ):
     """A suspended engine may process the previous holder's order only when it resumes."""
     lock = FakeLock()
-    lock.shared = True
+    lock.had_previous_holder = True
     sidecar_engine.update_facts(facts(version=2))
     weights = WeightLoader(sidecar_engine, Clock(), lock)
     began = time.monotonic()
--- a/tools/removals.py
+++ b/tools/removals.py
@@ -39,10 +39,10 @@
 BEATS = "src/threadramp/gateway/beats.py"
 CONFIGURATION = "src/threadramp/gateway/configuration.py"
 HEADERS = "src/threadramp/platform/headers.py"
-NAMES = "src/threadramp/lots/names.py"
+NAMES = "src/threadramp/lots/scoped_ids.py"
 CALLER_SERVER = "src/threadramp/edge/caller_server.py"
 REPORTS = "src/threadramp/duties/usage_reports.py"
-RIGHTS = "src/threadramp/fleet/rights.py"
+RIGHTS = "src/threadramp/fleet/fenced_lock.py"
 WEIGHTS = "src/threadramp/runner/weight_loader.py"
 LATE_BYTES = "src/threadramp/wire/late_bytes.py"
 RUNNER_ENGINE = "src/threadramp/runner/engine.py"
@@ -114,7 +114,7 @@
         "closed steps stay closed",
         "acknowledgement_is_lost",
         (
-            Edit(SAMPLES, "if self.marks.is_closed(poll.key):", "if False:"),
+            Edit(SAMPLES, "if self.closed_steps.is_closed(poll.key):", "if False:"),
             Edit(STEPS, "        if closed:\n", "        if False:\n"),
         ),
     ),
@@ -130,8 +130,8 @@
         "samples of a lost sidecar run elsewhere",
         "sidecar_is_killed_while",
         "src/threadramp/core/step.py",
-        "if place.endpoint != name}",
-        "if True}",
+        "if endpoint_attempt.endpoint != name\n",
+        "if True\n",
     ),
     Removal.of_one(
         "labels by piece",
@@ -158,7 +158,7 @@
     Removal.of_one(
         "verification of swaps",
         "swaps_fail_partway",
-        "src/threadramp/core/swap.py",
+        "src/threadramp/core/served_versions.py",
         "        return state.verified != version\n",
         "        return state.verified != version and state.backoff_s < 0.3\n",
     ),
@@ -253,7 +253,7 @@
         "crashes kept in the store",
         "gateway_that_started_later",
         CRASH_SHARING,
-        "            self._keep(wanted)",
+        "            self._persist(to_persist)",
         "            pass",
     ),
     Removal.of_one(
@@ -328,18 +328,19 @@
     ),
     Removal.of_one(
         "what is reported is fixed first",
-        "write_that_is_done_late_changes_no_report",
+        "late_write_changes_no_report",
         REPORTS,
         "key: ABSENT}",
         "}",
     ),
     Removal(
         "the proof of the right before each call",
-        "holder_that_stood_still_sends_nothing",
+        "suspended_holder_sends_nothing",
         (
             Edit(
                 REPORTS,
-                "        if not self.proof.is_there(self.number):\n            return\n",
+                "        if not self.verification.verify(self.fencing_token):\n"
+                "            return\n",
                 "",
             ),
             Edit(LATE_BYTES, "    if not may_send():\n", "    if False:\n"),
@@ -349,15 +350,15 @@
         "the wait of the next holder",
         "another_holder_has_a_higher_token_and_waits",
         RIGHTS,
-        "first_use_at = self.clock.now() + self.hand_over_s",
-        "first_use_at = 0.0",
+        "usable_from = self.clock.now() + self.takeover_delay_s",
+        "usable_from = 0.0",
     ),
     Removal(
         "the store's word for each order",
         "sidecar_that_stood_still_does_not_order",
         (
-            Edit(WEIGHTS, "self.lock.proven_number()", "self.lock.usable_number()"),
-            Edit(WEIGHTS, "report.orders, self.lock.still_proven)", "report.orders, lambda: True)"),
+            Edit(WEIGHTS, "self.lock.verified_token()", "self.lock.cached_token()"),
+            Edit(WEIGHTS, "report.orders, self.lock.is_verified)", "report.orders, lambda: True)"),
         ),
     ),
     Removal.of_one(
@@ -371,7 +372,7 @@
         "the age of the store's word",
         "store_response_that_is_processed_late_verifies_nothing",
         RIGHTS,
-        "and self.shown_ago_s() <= PROVEN_S",
+        "and self.verified_ago_s() <= VERIFICATION_TTL_S",
         "",
     ),
     Removal.of_one(
@@ -386,7 +387,7 @@
         "late_takeover_write_is_waited_for",
         RIGHTS,
         "found.revision, held, asked_at",
-        "found.revision, HeldRight(held.holder, False), asked_at",
+        "found.revision, LockRecord(held.holder, False), asked_at",
     ),
     Removal.of_one(
         "the middle of several clocks",
