--- a/src/threadramp/edge/crash_guard.py
+++ b/src/threadramp/edge/crash_guard.py
@@ -1,12 +1,12 @@
-"""Holds back requests under which endpoints ended, and notes under which they do.
+"""Holds back requests that crash endpoints, and records which requests do.
 
-What is known of a request is worked out only while any request is suspected, so that it costs
-nothing on a calm day. Whether an endpoint ended is looked at where its connection broke: a
-connection that was cut while its endpoint lives on is held against nobody, and neither is the end
-of an endpoint that had said it leaves.
+A request is looked up only while any request is suspect, so there is no cost in normal operation.
+When a connection breaks, its endpoint is probed. No crash is attributed if the endpoint is still
+alive, nor if it had announced that it was leaving.
 
-Where the port goes on taking connections, what is seen may be an end or not. It is held against the
-request at once, else a request ends all endpoints before the first is back, and settled after.
+If its port still accepts connections, the endpoint may or may not have crashed. The crash is
+attributed to the request at once and confirmed or retracted later: otherwise one request could
+crash all endpoints before the first of them is back.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from threadramp.edge.end_watch import EndWatch
-from threadramp.edge.endpoint_probe import EndpointState, look_at
-from threadramp.edge.signs import Breaking, Look, timed_look
+from threadramp.edge.connection_breaks import PendingBreaks, ProbeResult, timed_probe
+from threadramp.edge.crash_resolver import CrashResolver
+from threadramp.edge.endpoint_probe import EndpointState, probe_endpoint
 from threadramp.policy.crash_tracker import NO_SUSPICION, Assessment, SuspicionLevel
 from threadramp.policy.fingerprint import short_fingerprint
 from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_crashed
@@ -26,202 +26,214 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from threadramp.edge.connection_breaks import BrokenExchange
     from threadramp.edge.job import Job
-    from threadramp.edge.signs import Signs
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.model import Endpoint, Incarnation
     from threadramp.policy.crash_tracker import CrashTracker
 
-LOOKED_S = 0.2  # all requests of an endpoint break at once; one look serves them
+PROBE_REUSE_S = 0.2  # all requests at an endpoint break at once and share one probe
 
 
 class CrashGuard:
-    """One for all threads of a process.
+    """Decides which requests may be sent; shared by all threads of a process.
 
-    :param claim: asks for the right to one trial of a refused request; of all boxes one gets it
-    :param count: counts by kind and label
-    :param look: tells whether a process listens at an address
+    :param claim: claims a numbered trial of a refused request; only one box gets it
+    :param count: increments a counter by kind and label
+    :param probe: returns whether a process listens at an address
     """
 
     def __init__(
         self,
-        book: CrashTracker,
+        tracker: CrashTracker,
         clock: Clock,
-        picture: FleetView,
+        fleet_view: FleetView,
         claim: Callable[[bytes, int], bool] = lambda fingerprint, trial: False,
         count: Callable[[str, str], None] = lambda kind, label: None,
-        look: Callable[[str], EndpointState] = look_at,
+        probe: Callable[[str], EndpointState] = probe_endpoint,
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.clock = clock
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.claim = claim
         self.count = count
-        self.look = look
-        self.ends = EndWatch(book, clock, is_replaced=self._is_replaced)
-        self.breaking = Breaking()
-        self.looked: dict[Incarnation, tuple[Look, float]] = {}
-        self.apart: set[Incarnation] = set()
+        self.probe = probe
+        self.resolver = CrashResolver(tracker, clock, is_replaced=self._is_replaced)
+        self.pending_breaks = PendingBreaks()
+        self.recent_probes: dict[Incarnation, tuple[ProbeResult, float]] = {}
+        self.isolated: set[Incarnation] = set()
         self.lock = threading.Lock()
 
-    def ruling(self, fingerprint: Callable[[], bytes]) -> Assessment:
-        """Return what holds for a request.
+    def assess(self, fingerprint: Callable[[], bytes]) -> Assessment:
+        """Return the assessment of a request.
 
-        :param fingerprint: works out what stands for it
+        :param fingerprint: computes its fingerprint
         """
-        if self.book.is_empty:
+        if self.tracker.is_empty:
             return NO_SUSPICION
-        return self.book.assess(fingerprint(), self.clock.time_of_day())
+        return self.tracker.assess(fingerprint(), self.clock.time_of_day())
 
     def admit(self, name: str, fingerprint: Callable[[], bytes]) -> Assessment:
-        """Return what holds for a request that is to be sent; a refused one may get a trial.
+        """Return the assessment of a request before it is sent; a refused one may get a trial.
 
-        :param name: the request's id or the sample's
+        :param name: the id of the request or of the sample
         """
-        ruling = self.ruling(fingerprint)
-        if ruling.level is not SuspicionLevel.REFUSED:
-            return ruling
+        assessment = self.assess(fingerprint)
+        if assessment.level is not SuspicionLevel.REFUSED:
+            return assessment
         key = fingerprint()
         now = self.clock.time_of_day()
-        if ruling.trial and self.claim(key, ruling.trial):
-            self.book.record_trial(key, ruling.trial, now)
+        if assessment.trial and self.claim(key, assessment.trial):
+            self.tracker.record_trial(key, assessment.trial, now)
             self.count("crash", "trial")
             log_state(
                 "trial_of_refused",
                 request=name,
                 fingerprint=short_fingerprint(key),
-                trial=ruling.trial,
-                crashes=ruling.crashes,
+                trial=assessment.trial,
+                crashes=assessment.crashes,
             )
-            return Assessment(SuspicionLevel.ISOLATED, ruling.crashes, ruling.trial)
-        self.book.record_repeat(key, now)
+            return Assessment(SuspicionLevel.ISOLATED, assessment.crashes, assessment.trial)
+        self.tracker.record_repeat(key, now)
         self.count("crash", "refused")
         log_state(
             "refused_after_crashes",
             request=name,
             fingerprint=short_fingerprint(key),
-            crashes=ruling.crashes,
-            again_s=round(ruling.retry_after_s, 1),
+            crashes=assessment.crashes,
+            again_s=round(assessment.retry_after_s, 1),
         )
-        return ruling
+        return assessment
 
-    def broke(self, job: Job, endpoint: Endpoint, signs: Signs) -> bool:
-        """Note that an endpoint broke a connection while it owed an answer.
+    def record_broken_connection(
+        self, job: Job, endpoint: Endpoint, broken: BrokenExchange
+    ) -> bool:
+        """Record that an endpoint broke a connection before its response was complete.
 
-        :returns: whether the endpoint has ended, as far as can be seen now
+        :returns: whether the endpoint has crashed, as far as is known now
         """
-        start = self.book.current_incarnation(endpoint.incarnation)
-        beside = signs.open_there() - signs.own
-        with self.breaking.looked_at(endpoint.incarnation, signs):
-            look = self._look_at(endpoint)
-            listens = look.state is EndpointState.BREAKS
-            held = listens and may_have_crashed(self._break_of(endpoint, signs, look))
+        incarnation = self.tracker.current_incarnation(endpoint.incarnation)
+        other_open = broken.count_open() - broken.own_open
+        with self.pending_breaks.probing(endpoint.incarnation, broken):
+            probe = self._probe(endpoint)
+            listens = probe.state is EndpointState.BREAKS
+            attributed = listens and may_have_crashed(self._describe_break(endpoint, broken, probe))
         log_state(
             "connection_broken",
             request=job.request_id,
             fingerprint=short_fingerprint(job.fingerprint),
             instance=endpoint.instance,
-            endpoint=look.state.value,
-            beside=beside,
-            held=held,
+            endpoint=probe.state.value,
+            other_open=other_open,
+            attributed=attributed,
         )
-        if look.state is not EndpointState.ENDED and not held:
+        if probe.state is not EndpointState.ENDED and not attributed:
             return False
-        if not self._left(endpoint):
-            self.ended_under(job.request_id, job.fingerprint, start, listens)
+        if not self._was_leaving(endpoint):
+            self.record_crash(job.request_id, job.fingerprint, incarnation, listens)
             if listens:
-                self.ends.watch(start, endpoint.address, job.fingerprint)
+                self.resolver.resolve(incarnation, endpoint.address, job.fingerprint)
         return True
 
-    def ended_under(
-        self, name: str, fingerprint: bytes, start: Incarnation, listens: bool = False
+    def record_crash(
+        self, name: str, fingerprint: bytes, incarnation: Incarnation, listens: bool = False
     ) -> None:
-        """Note that a start of an endpoint ended while a request was open there.
+        """Record that an incarnation of an endpoint crashed while a request was open there.
 
-        :param listens: whether its port goes on taking connections, so that it only may have ended
+        :param listens: whether its port still accepts connections, so that the crash is unconfirmed
         """
-        ruling = self.book.record_crash(fingerprint, start, self.clock.time_of_day(), listens)
+        assessment = self.tracker.record_crash(
+            fingerprint, incarnation, self.clock.time_of_day(), listens
+        )
         self.count("crash", "seen")
         log_state(
             "endpoint_ended",
             request=name,
             fingerprint=short_fingerprint(fingerprint),
-            instance=start.instance,
-            crashes=ruling.crashes,
-            verdict=ruling.level.value,
+            instance=incarnation.instance,
+            crashes=assessment.crashes,
+            verdict=assessment.level.value,
             listens=listens,
         )
 
-    def answered(self, fingerprint: Callable[[], bytes], start: Incarnation) -> None:
-        """Note an answer: the endpoint lives, and the request ran there without ending it."""
-        self.breaking.note_answer(start)
-        if self.book.is_empty:
+    def record_response(self, fingerprint: Callable[[], bytes], incarnation: Incarnation) -> None:
+        """Record a response: the endpoint is alive, and the request ran without crashing it."""
+        self.pending_breaks.record_response(incarnation)
+        if self.tracker.is_empty:
             return
         now = self.clock.time_of_day()
-        if self.book.record_answer(self.book.current_incarnation(start), now):
-            log_state("endpoint_lives", instance=start.instance)
+        if self.tracker.record_answer(self.tracker.current_incarnation(incarnation), now):
+            log_state("endpoint_alive", instance=incarnation.instance)
         key = fingerprint()
-        if self.book.record_success(key, now):
+        if self.tracker.record_success(key, now):
             self.count("crash", "acquitted")
-            log_state("acquitted", fingerprint=short_fingerprint(key), instance=start.instance)
+            log_state(
+                "acquitted", fingerprint=short_fingerprint(key), instance=incarnation.instance
+            )
 
-    def taken(self) -> set[Incarnation]:
-        """Return the endpoints that have a request which goes apart from other suspects."""
+    def isolated_endpoints(self) -> set[Incarnation]:
+        """Return the endpoints that are reserved for one isolated request."""
         with self.lock:
-            return set(self.apart)
+            return set(self.isolated)
 
-    def take_place(self, start: Incarnation) -> bool:
-        """Reserve an endpoint for a request that goes apart from other suspects."""
+    def isolate(self, incarnation: Incarnation) -> bool:
+        """Reserve an endpoint for one isolated request; false if it is reserved already."""
         with self.lock:
-            if start in self.apart:
+            if incarnation in self.isolated:
                 return False
-            self.apart.add(start)
+            self.isolated.add(incarnation)
             return True
 
-    def leave_place(self, start: Incarnation) -> None:
-        """Let others apart go to an endpoint again."""
+    def end_isolation(self, incarnation: Incarnation) -> None:
+        """Release an endpoint that was reserved for an isolated request."""
         with self.lock:
-            self.apart.discard(start)
+            self.isolated.discard(incarnation)
 
-    def _break_of(self, endpoint: Endpoint, signs: Signs, look: Look) -> ConnectionBreak:
-        """Return what tells whether an endpoint may have ended that breaks new connections."""
-        sent_at = self.clock.time_of_day() - signs.lived_s - look.took_s
+    def _describe_break(
+        self, endpoint: Endpoint, broken: BrokenExchange, probe: ProbeResult
+    ) -> ConnectionBreak:
+        """Describe the break at an endpoint that also breaks new connections."""
+        sent_at = self.clock.time_of_day() - broken.sent_ago_s - probe.took_s
         return ConnectionBreak(
-            signs.lived_s,
-            look.took_s,
-            signs.kept,
-            self.breaking.others_go_on(endpoint.incarnation, signs),
-            self.book.is_reported_crashed(
-                self.book.current_incarnation(endpoint.incarnation), sent_at
+            broken.sent_ago_s,
+            probe.took_s,
+            broken.reused,
+            self.pending_breaks.others_still_active(endpoint.incarnation, broken),
+            self.tracker.is_reported_crashed(
+                self.tracker.current_incarnation(endpoint.incarnation), sent_at
             ),
         )
 
-    def _look_at(self, endpoint: Endpoint) -> Look:
+    def _probe(self, endpoint: Endpoint) -> ProbeResult:
         now = self.clock.now()
         with self.lock:
-            look, at = self.looked.get(endpoint.incarnation, (None, float("-inf")))
-        if look is not None and now - at <= LOOKED_S:
-            return look
-        look = timed_look(endpoint.address, self.look)
+            probe, at = self.recent_probes.get(endpoint.incarnation, (None, float("-inf")))
+        if probe is not None and now - at <= PROBE_REUSE_S:
+            return probe
+        probe = timed_probe(endpoint.address, self.probe)
         with self.lock:
-            self.looked = {
-                start: row for start, row in self.looked.items() if now - row[1] <= LOOKED_S
+            self.recent_probes = {
+                incarnation: entry
+                for incarnation, entry in self.recent_probes.items()
+                if now - entry[1] <= PROBE_REUSE_S
             }
-            self.looked[endpoint.incarnation] = (look, now)
-        return look
-
-    def _is_replaced(self, start: Incarnation, address: str) -> bool:
-        """Return whether a start of another id is listed where this one was."""
-        listed = self.picture.snapshot.endpoints.values()
-        return any(one.address == address and one.instance != start.instance for one in listed)
+            self.recent_probes[endpoint.incarnation] = (probe, now)
+        return probe
+
+    def _is_replaced(self, incarnation: Incarnation, address: str) -> bool:
+        """Return whether an endpoint with another id is listed at the same address."""
+        listed = self.fleet_view.snapshot.endpoints.values()
+        return any(
+            one.address == address and one.instance != incarnation.instance for one in listed
+        )
 
-    def _left(self, endpoint: Endpoint) -> bool:
-        """Return whether it had said that it leaves."""
-        current = endpoint
+    def _was_leaving(self, endpoint: Endpoint) -> bool:
+        """Return whether the endpoint had announced that it was leaving."""
+        listed = endpoint
         with suppress(KeyError):
-            current = self.picture.snapshot.endpoints[endpoint.instance]
-        return current.leaving
+            listed = self.fleet_view.snapshot.endpoints[endpoint.instance]
+        return listed.leaving
 
 
 __all__ = ["CrashGuard"]
--- a/src/threadramp/edge/job.py
+++ b/src/threadramp/edge/job.py
@@ -1,4 +1,4 @@
-"""A request to forward, and how that ended."""
+"""A request to forward, and its outcome."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from functools import cached_property
 from typing import TYPE_CHECKING
 
-from threadramp.edge.connections import is_readable
+from threadramp.edge.connection_pool import is_readable
 from threadramp.platform.headers import caller_of
 from threadramp.policy.callers import UNIDENTIFIED
 from threadramp.policy.fingerprint import fingerprint
 
 if TYPE_CHECKING:
-    from threadramp.edge.exchange import Answer
+    from threadramp.edge.exchange import EndpointResponse
     from threadramp.fleet.model import Route
     from threadramp.policy.callers import Caller
 
 
 class Ending(Enum):
-    """How a forwarded request ended; ``CUT`` is a stream that began and could not go on."""
+    """How a forwarded request ended; ``CUT`` is a stream that began and could not continue."""
 
     ANSWERED = "answered"
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
-    TIME_OVER = "time over"
-    CALLER_GONE = "caller gone"
+    TIMED_OUT = "time over"
+    CALLER_DISCONNECTED = "caller gone"
     STREAMED = "streamed"
     CUT = "cut"
 
@@ -36,10 +36,10 @@
     """A request to forward.
 
     :param target: path and query, as the caller sent them
-    :param until: time at which the caller gets a final answer in any case
-    :param caller: the caller's socket, watched for its end; none if nobody waits
-    :param repeats_errors: whether an answer 500 is tried elsewhere; else it is the answer
-    :param who: whose request it is
+    :param deadline: time at which the caller gets a final response in any case
+    :param caller_socket: socket of the caller, watched for a disconnect; none if nobody waits
+    :param retry_errors: whether a status 500 is retried at another endpoint; else it is passed on
+    :param identity: who sent the request
     """
 
     request_id: str
@@ -48,34 +48,34 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     route: Route
-    until: float
-    caller: socket.socket | None = None
-    repeats_errors: bool = True
-    who: Caller = UNIDENTIFIED
+    deadline: float
+    caller_socket: socket.socket | None = None
+    retry_errors: bool = True
+    identity: Caller = UNIDENTIFIED
 
     @cached_property
     def fingerprint(self) -> bytes:
-        """Return what stands for this request whatever its id; worked out when it is asked for."""
-        known = self.who.organisation
+        """Return the fingerprint of this request, which does not depend on its id."""
+        known = self.identity.organisation
         caller = caller_of(self.headers) if known is None else known
         return fingerprint(self.route.host, self.method, self.target, caller, self.body)
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """How it ended.
+    """The outcome of forwarding a job.
 
-    :param answer: of the endpoint, if there is one to pass on
+    :param response: response of the endpoint, if there is one to pass on
     :param first_event_s: seconds until a stream's first event was passed on, none if none was
     """
 
     ending: Ending
-    answer: Answer | None = None
+    response: EndpointResponse | None = None
     retry_after_s: float = 0.0
     first_event_s: float | None = None
 
 
-def has_ended(caller: socket.socket) -> bool:
+def is_disconnected(caller: socket.socket) -> bool:
     """Return whether the caller closed its connection."""
     try:
         if not is_readable(
@@ -89,4 +89,4 @@
         return True
 
 
-__all__ = ["Ending", "Job", "Outcome", "has_ended"]
+__all__ = ["Ending", "Job", "Outcome", "is_disconnected"]
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -46,13 +46,13 @@
         :param start: incarnation of the engine that ran it
         """
         if outcome is RunOutcome.CRASHED:
-            self.guard.ended_under(sample, self._fingerprint(lot, sample), start)
+            self.guard.record_crash(sample, self._fingerprint(lot, sample), start)
         elif outcome in ENGINE_SURVIVED:
-            self.guard.answered(lambda: self._fingerprint(lot, sample), start)
+            self.guard.record_response(lambda: self._fingerprint(lot, sample), start)
 
     def may_run_anywhere(self, lot: OwnedLot, sample: str) -> bool:
         """Return whether a sample may run on any engine, next to any other sample."""
-        ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
+        ruling = self.guard.assess(lambda: self._fingerprint(lot, sample))
         return ruling.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED)
 
     def allowed_runners(
@@ -63,7 +63,7 @@
         If all of them have one, any runner is allowed: a sample takes seconds, and its step waits
         for it.
         """
-        ruling = self.guard.ruling(lambda: self._fingerprint(lot, sample))
+        ruling = self.guard.assess(lambda: self._fingerprint(lot, sample))
         if ruling.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED):
             return views
         isolating = self._isolating_runners()
--- a/src/threadramp/report/gateway_inspector.py
+++ b/src/threadramp/report/gateway_inspector.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from threadramp.edge.attempts import EndpointAccess
+    from threadramp.edge.attempt_loop import EndpointAccess
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.fleet_view import FleetView
     from threadramp.fleet.mirror import Mirror
@@ -186,7 +186,7 @@
 
         :param name: its short fingerprint, as in the logs
         """
-        tracker = self.access.guard.book
+        tracker = self.access.guard.tracker
         found = tracker.find(name)
         now = self.clock.time_of_day()
         if found is None:
--- a/src/threadramp/runner/crash_detection.py
+++ b/src/threadramp/runner/crash_detection.py
@@ -10,8 +10,8 @@
 
 from typing import TYPE_CHECKING
 
-from threadramp.edge.endpoint_probe import EndpointState, look_at
-from threadramp.edge.signs import timed_look
+from threadramp.edge.connection_breaks import timed_probe
+from threadramp.edge.endpoint_probe import EndpointState, probe_endpoint
 from threadramp.policy.proxied_crashes import ConnectionBreak, may_have_crashed
 
 if TYPE_CHECKING:
@@ -19,14 +19,14 @@
 
 
 def has_crashed(
-    address: str, lived_s: float, probe: Callable[[str], EndpointState] = look_at
+    address: str, lived_s: float, probe: Callable[[str], EndpointState] = probe_endpoint
 ) -> bool:
     """Return whether an engine has crashed, as far as a probe shows now.
 
     :param lived_s: seconds from sending a sample until its connection broke
     :param probe: returns what a new connection to the engine shows
     """
-    found = timed_look(address, probe)
+    found = timed_probe(address, probe)
     if found.state is EndpointState.BREAKS:
         return may_have_crashed(ConnectionBreak(lived_s, found.took_s))
     return found.state is EndpointState.ENDED
--- a/src/threadramp/runner/engine.py
+++ b/src/threadramp/runner/engine.py
@@ -9,7 +9,7 @@
 
 from msgspec.structs import replace
 
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.exchange import ExchangeError
 from threadramp.fleet.model import Endpoint, Incarnation
 from threadramp.platform.engine import (
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from threadramp.edge.exchange import Answer, Exchange
+    from threadramp.edge.exchange import EndpointResponse, Exchange
     from threadramp.fleet.clock import Clock
     from threadramp.fleet.model import WeightTarget
 
@@ -54,10 +54,10 @@
         self.pool = pool
         self.holder = holder
         self.clock = clock
-        self.connections = Connections()  # for samples
+        self.connections = ConnectionPool()  # for samples
         # For reports and orders. They carry no request id, so a response left over on a connection
         # from a sample or another report would be taken for theirs.
-        self.control_connections = Connections()
+        self.control_connections = ConnectionPool()
         self.facts = NO_FACTS
         self.report: EngineReport | None = None
         self.responsive_since = float("inf")  # infinite while the engine does not answer
@@ -177,8 +177,8 @@
 
     def close_idle_connections(self) -> None:
         """Close all idle connections; if one passes nothing any more, the others may not either."""
-        self.connections.forget(set())
-        self.control_connections.forget(set())
+        self.connections.retain_only(set())
+        self.control_connections.retain_only(set())
 
     def set_counter(self, count: Callable[[str, str], None]) -> None:
         """Set the function that counts unrequested responses on connections, by kind and label."""
@@ -262,9 +262,9 @@
             exchange.close()
         return read_order_answer(response.head.status)
 
-    def release_connection(self, exchange: Exchange, response: Answer) -> None:
+    def release_connection(self, exchange: Exchange, response: EndpointResponse) -> None:
         """Return the connection to the pool; at most one idle connection per slot is kept."""
-        self.connections.keep(exchange, response, self.clock.now(), self.facts.slots)
+        self.connections.release(exchange, response, self.clock.now(), self.facts.slots)
 
     def add_event_gap(self, seconds: float) -> None:
         """Record the time between two events of a sample."""
@@ -292,7 +292,7 @@
         if is_first or report is None or before is None or not report.is_behind(before):
             return report
         log_state("report_regressed", orders=report.orders, before=before.orders)
-        self.control_connections.forget(set())
+        self.control_connections.retain_only(set())
         return self._fetch_report(self._open_control_exchange(REPORT_TIMEOUT_S))
 
     def _fetch_report_with_retry(self) -> tuple[EngineReport | None, bool]:
@@ -337,12 +337,12 @@
     def _fetch_report(self, exchange: Exchange) -> EngineReport | None:
         exchange.send("GET", REPORT_PATH, {"Host": self.address}, b"")
         response = exchange.read(REPORT_TIMEOUT_S)
-        self.control_connections.keep(exchange, response, self.clock.now())
+        self.control_connections.release(exchange, response, self.clock.now())
         return read_report(response.body) if response.head.status == 200 else None
 
     def _open_control_exchange(self, timeout_s: float, on_new: bool = False) -> Exchange:
         now = self.clock.now()
-        return self.control_connections.open(self.endpoint(), now, timeout_s, on_new)
+        return self.control_connections.acquire(self.endpoint(), now, timeout_s, on_new)
 
     def _log_leaving(self, report: EngineReport | None) -> None:
         """Log when the engine first reports that it is leaving."""
@@ -352,7 +352,7 @@
 
 
 def _is_timeout(error: Exception) -> bool:
-    return isinstance(error, ExchangeError) and error.late
+    return isinstance(error, ExchangeError) and error.timed_out
 
 
 __all__ = ["Engine"]
--- a/src/threadramp/runner/sample_run.py
+++ b/src/threadramp/runner/sample_run.py
@@ -8,7 +8,12 @@
 from urllib3.exceptions import HTTPError
 
 from threadramp.core.lot_tracker import RunOutcome
-from threadramp.edge.exchange import ExchangeError, body_pieces, is_broken, streamed_answer
+from threadramp.edge.exchange import (
+    ExchangeError,
+    is_connection_error,
+    iter_body,
+    streamed_response,
+)
 from threadramp.lots.scoped_ids import unscoped_id
 from threadramp.platform.headers import OTHER_INSTANCE_STATUS, read_answer, sample_headers
 from threadramp.report.log import log_state
@@ -65,7 +70,7 @@
         try:
             self._execute()
         except ExchangeError as error:
-            if not (error.stale or error.silent) or self._is_over():
+            if not (error.stale or error.unresponsive) or self._is_over():
                 raise
             if self._outcome_of_break(error.broken) is RunOutcome.CRASHED:
                 raise  # a retry could crash the next incarnation as well
@@ -82,12 +87,14 @@
         endpoint = self.engine.endpoint()
         request_id = unscoped_id(self.run.order.sample.id)
         now = self.clock.now()
-        exchange = self.engine.connections.open(endpoint, now, CONNECT_TIMEOUT_S, ident=request_id)
+        exchange = self.engine.connections.acquire(
+            endpoint, now, CONNECT_TIMEOUT_S, request_id=request_id
+        )
         if not self._register_cancel(exchange):
             exchange.close()
             return
         self._send(exchange)
-        response = exchange.own_response(HEAD_TIMEOUT_S)
+        response = exchange.read_own_head(HEAD_TIMEOUT_S)
         if exchange.duplicates:
             self.metrics.count("answer_not_own", "named")
         head = read_answer(response.status, response.headers)
@@ -158,20 +165,20 @@
         exchange.connection.sock.settimeout(STREAM_IDLE_TIMEOUT_S)
         self.last_event_at = self.clock.now()
         try:
-            for data in body_pieces(response):
+            for data in iter_body(response):
                 for event in reader.feed(data):
                     if not self._add_event(event):
                         exchange.close()
                         return
         except (OSError, HTTPError, ValueError, AttributeError) as error:
             exchange.close()
-            self._finish(self._outcome_of_break(is_broken(error)), repr(error))
+            self._finish(self._outcome_of_break(is_connection_error(error)), repr(error))
             return
         if not reader.is_between_events:
             exchange.close()
             self._finish(self._outcome_of_break(True), "the stream ended within an event")
             return
-        self.engine.release_connection(exchange, streamed_answer(response))
+        self.engine.release_connection(exchange, streamed_response(response))
         self._finish(RunOutcome.COMPLETE, "")
 
     def _add_event(self, event: Event) -> bool:
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -12,9 +12,9 @@
 from threadramp.duties.duty_loop import DutyLoop
 from threadramp.duties.scale_orders import ScaleOrders
 from threadramp.duties.usage_reports import UsageReports
-from threadramp.edge.caller_watch import CallerWatch
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.crash_guard import CrashGuard
+from threadramp.edge.disconnect_watcher import DisconnectWatcher
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.handler import EdgeHandler
 from threadramp.edge.server import EdgeServer
@@ -106,7 +106,7 @@
         )
         limits = CallerLimits()  # until the configuration is known
         self.readiness_server = EdgeServer(
-            settings.ready, self.handler.answer_ready, READY_THREADS, limits
+            settings.ready, self.handler.serve_ready, READY_THREADS, limits
         )
         self.caller_server = EdgeServer(settings.callers, self.handler.handle, HTTP_THREADS, limits)
         self.fleet_view.operator.listeners.append(self._apply_caller_limits)
@@ -122,7 +122,7 @@
             run_in_background(self.duties.leave)
         deadline = started_at + self.settings.bounds.grace_s - EXIT_MARGIN_S
         self._wait_until_idle(started_at + BALANCER_DRAIN_S, deadline - FINAL_RESPONSES_S)
-        self.caller_server.take_nothing_new()
+        self.caller_server.stop_accepting()
         self.hosting.leave()
         while self.caller_server.is_busy and steady_s() < deadline:
             time.sleep(STOP_POLL_S)
@@ -287,7 +287,7 @@
 
     def _create_lot_parts(self, store: StoreClient, clock: Clock) -> None:
         random = Random(self.incarnation)
-        connections = Connections(self.metrics.count)
+        connections = ConnectionPool(self.metrics.count)
         self.usage_counting = self._new_usage_counting()
         forwarder = Forwarder(
             self.fleet_view,
@@ -299,9 +299,9 @@
             self.usage_counting,
         )
         self.forwarder = forwarder
-        self.caller_watch = CallerWatch()
+        self.caller_watch = DisconnectWatcher()
         streams = StreamForwarder(forwarder, self.caller_watch)
-        self.fleet_view.endpoints.listeners.append(forwarder.forget_gone)
+        self.fleet_view.endpoints.listeners.append(forwarder.drop_unlisted)
         owned = OwnedLots()
         if self.usage_counting is not None:
             self.usage_counting.open = DemandCounter(self.fleet_view, forwarder.choice, owned).open
@@ -354,7 +354,7 @@
         """Apply the limits for callers of the configuration in force."""
         configuration = self.fleet_view.snapshot.configuration
         if configuration is not None and configuration.limits != self.caller_server.limits:
-            self.caller_server.keep(configuration.limits)
+            self.caller_server.set_limits(configuration.limits)
             log_state(
                 "caller_limits", version=configuration.version, **asdict(configuration.limits)
             )
--- a/tests/edge/test_echo.py
+++ b/tests/edge/test_echoed_request.py
@@ -1,4 +1,4 @@
-"""A body that holds the head of its own request, as an endpoint that echoes answers it."""
+"""A response body that contains the head of its own request, as from an echoing endpoint."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.stuttering import Stutterer, header_of, response
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Ending, Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -18,8 +18,8 @@
 
 
 @pytest.mark.parametrize("kind", [RouteKind.ONCE, RouteKind.REPEATABLE])
-def test_an_endpoint_that_echoes_a_head_gets_its_answers_through(kind):
-    """Nothing was on the connection before, so that nothing of before can be in the body."""
+def test_a_response_that_echoes_the_request_head_is_passed_on(kind):
+    """The connection is new, so the body cannot contain bytes of an earlier response."""
 
     def answer(number: int, request: bytes) -> bytes:
         body = b"you sent:\r\nPOST /x HTTP/1.1\r\n" + request.partition(b"\r\n")[2]
@@ -31,7 +31,7 @@
         endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
     )
     forwarder = Forwarder(
-        picture, Connections(), EndpointSelector(Random(1)), RetryBudget(), Clock()
+        picture, ConnectionPool(), EndpointSelector(Random(1)), RetryBudget(), Clock()
     )
     route = Route("r", "h", "/", kind, (PoolShare("p", 1.0),), 2.0, 1.0, 2)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
@@ -40,4 +40,4 @@
     finally:
         endpoint.close()
     assert outcome.ending is Ending.ANSWERED
-    assert outcome.answer.head.status == 200
+    assert outcome.response.head.status == 200
--- a/tests/edge/test_interim.py
+++ b/tests/edge/test_interim_responses.py
@@ -1,4 +1,4 @@
-"""Interim answers of endpoints."""
+"""Interim (1xx) responses of endpoints."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.stuttering import LATE, Stutterer, header_of, response
-from threadramp.edge.connections import Connections
+from threadramp.edge.connection_pool import ConnectionPool
 from threadramp.edge.forward import Forwarder
 from threadramp.edge.job import Job
 from threadramp.fleet.clock import Clock, steady_s
@@ -18,8 +18,8 @@
 
 
 @pytest.mark.parametrize("interim", [b"102 Processing", b"103 Early Hints"])
-def test_an_interim_answer_is_not_the_answer(interim):
-    """The library waits behind 100 alone; any other was passed on as the whole answer."""
+def test_an_interim_response_is_not_the_response(interim):
+    """http.client skips only status 100; any other was passed on as the complete response."""
 
     def answer(number: int, request: bytes) -> bytes:
         own = {"X_Attempt_Id": header_of(request, "X-Attempt-Id"), "X_Server_Stamp": "s"}
@@ -31,7 +31,7 @@
         endpoints={"i-1": Endpoint("i-1", "p", endpoint.address, "a", 6)}
     )
     forwarder = Forwarder(
-        picture, Connections(), EndpointSelector(Random(1)), RetryBudget(), Clock()
+        picture, ConnectionPool(), EndpointSelector(Random(1)), RetryBudget(), Clock()
     )
     route = Route("r", "h", "/", RouteKind.ONCE, (PoolShare("p", 1.0),), 2.0, 1.0, 1)
     headers = (("Host", "h"), ("X-Attempt-Id", "r1"))
@@ -39,4 +39,4 @@
         outcome = forwarder.run(Job("r1", "POST", "/x", headers, b"q", route, steady_s() + 2.0))
     finally:
         endpoint.close()
-    assert outcome.answer is None or outcome.answer.head.status == 200
+    assert outcome.response is None or outcome.response.head.status == 200
