--- a/src/threadramp/duties/demand.py
+++ b/src/threadramp/duties/demand.py
@@ -18,40 +18,40 @@
 class DemandCounter:
     """Counts open requests of callers, and samples that run or wait."""
 
-    def __init__(self, picture: FleetView, choice: EndpointSelector, owned: OwnedLots) -> None:
-        self.picture = picture
+    def __init__(self, fleet_view: FleetView, choice: EndpointSelector, owned: OwnedLots) -> None:
+        self.fleet_view = fleet_view
         self.choice = choice
         self.owned = owned
 
     def open(self) -> Open:
         """Return the open requests; nothing if no pool scales with demand."""
-        belief = self.picture.snapshot
-        configuration = belief.configuration
+        snapshot = self.fleet_view.snapshot
+        configuration = snapshot.configuration
         if configuration is None:
             return {}
         pools = [name for name, pool in configuration.pools.items() if pool.autoscale is not None]
-        found = {name: self._open_calls(name, belief) for name in pools}
+        found = {name: self._open_calls(name, snapshot) for name in pools}
         if pools:
-            self._add_samples(found, belief)
+            self._add_samples(found, snapshot)
         return {name: dict(row) for name, row in found.items()}
 
-    def _open_calls(self, pool: str, belief: FleetSnapshot) -> Counter[str]:
+    def _open_calls(self, pool: str, snapshot: FleetSnapshot) -> Counter[str]:
         row: Counter[str] = Counter()
-        for endpoint in belief.in_pool(pool):
+        for endpoint in snapshot.in_pool(pool):
             row[endpoint.data_centre] += self.choice.open_requests(endpoint)
         return row
 
-    def _add_samples(self, found: dict[str, Counter[str]], belief: FleetSnapshot) -> None:
+    def _add_samples(self, found: dict[str, Counter[str]], snapshot: FleetSnapshot) -> None:
         """Add the samples of owned lots, spread over the pool's data centres."""
         for lot in self.owned.open():
-            route = belief.configuration.route_for(lot.tracker.lot.host, lot.tracker.lot.path)
+            route = snapshot.configuration.route_for(lot.tracker.lot.host, lot.tracker.lot.path)
             pool = route.shares[0].pool if route is not None else ""
             if pool not in found:
                 continue
             with self.owned.lock:
                 states = list(lot.tracker.states.values())
             wanted = sum(state.phase in (Phase.RUNNING, Phase.WAITING) for state in states)
-            data_centres = {one.data_centre for one in belief.in_pool(pool)}
+            data_centres = {one.data_centre for one in snapshot.in_pool(pool)}
             for data_centre in data_centres:
                 found[pool][data_centre] += wanted / len(data_centres)
 
--- a/src/threadramp/duties/duty_lock.py
+++ b/src/threadramp/duties/duty_lock.py
@@ -31,21 +31,21 @@
 
     def __init__(
         self,
-        picture: FleetView,
+        fleet_view: FleetView,
         store: StoreClient,
         box: str,
         takeover_delay_s: float,
         clock: Clock,
         may_take: Callable[[str | None], bool],
     ) -> None:
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.box = box
         # Work under the lock is verified by a conditional write of its own, or by reading the lock.
         self.lock = FencedLock(store, DUTIES_KEY, box, takeover_delay_s, clock, may_take)
 
     def holder(self) -> str:
         """Return the holder of the lock as known to this gateway, empty if there is none."""
-        item = self.picture.members.snapshot().get(DUTIES_KEY)
+        item = self.fleet_view.members.snapshot().get(DUTIES_KEY)
         held = decode_lock_record(item.value) if item is not None else None
         return held.holder if held is not None else ""
 
--- a/src/threadramp/duties/scale_orders.py
+++ b/src/threadramp/duties/scale_orders.py
@@ -31,14 +31,14 @@
         lock: FencedLock,
         calls: DutyCalls,
         collector: UsageCollector,
-        picture: FleetView,
+        fleet_view: FleetView,
         metrics: Metrics,
     ) -> None:
         self.lock = lock
         self.verification = RecentVerification(lock)
         self.calls = calls
         self.collector = collector
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.metrics = metrics
         self.scalings: dict[str, Scaling] = {}
         self.fencing_token = 0
@@ -51,7 +51,7 @@
         :param fencing_token: of the lock, which this gateway holds
         """
         now = self.lock.clock.now()
-        configuration = self.picture.snapshot.configuration
+        configuration = self.fleet_view.snapshot.configuration
         if configuration is None or now - self.decided_at < DECISION_INTERVAL_S:
             return
         self.decided_at = now
@@ -81,7 +81,7 @@
         ]
 
     def _demands(self, pool: Pool) -> dict[str, Demand]:
-        endpoints = [one for one in self.picture.snapshot.in_pool(pool.name) if not one.leaving]
+        endpoints = [one for one in self.fleet_view.snapshot.in_pool(pool.name) if not one.leaving]
         serving = Counter(one.data_centre for one in endpoints)
         slots = max((one.slots for one in endpoints), default=pool.slots) or 1
         busy = self.collector.open_at(pool.name)
--- a/src/threadramp/edge/attempt_loop.py
+++ b/src/threadramp/edge/attempt_loop.py
@@ -69,9 +69,9 @@
 
     def release_connection(self, exchange: Exchange, response: EndpointResponse) -> None:
         """Return a connection to the pool, within this gateway's share of idle connections."""
-        belief = self.fleet_view.snapshot
-        pool = belief.pool(exchange.endpoint.pool)
-        max_idle = max_idle_connections(pool.max_connections, len(belief.gateways()))
+        snapshot = self.fleet_view.snapshot
+        pool = snapshot.pool(exchange.endpoint.pool)
+        max_idle = max_idle_connections(pool.max_connections, len(snapshot.gateways()))
         self.connection_pool.release(exchange, response, self.clock.now(), max_idle)
 
 
--- a/src/threadramp/fleet/crash_sharing.py
+++ b/src/threadramp/fleet/crash_sharing.py
@@ -55,14 +55,14 @@
 
     def __init__(
         self,
-        book: CrashTracker,
+        tracker: CrashTracker,
         peers: Peers,
         store: StoreClient,
         health: StoreHealth,
         clock: Clock,
         box: str,
     ) -> None:
-        self.book = book
+        self.tracker = tracker
         self.peers = peers
         self.store = store
         self.health = health
@@ -77,7 +77,7 @@
         self.read_revisions: dict[str, int] = {}
         self.wake = threading.Event()
         self.stopped = threading.Event()
-        book.on_update = self.wake.set
+        tracker.on_update = self.wake.set
         peers.fleet_view.members.listeners.append(self.load_persisted)
 
     def start(self) -> None:
@@ -91,8 +91,8 @@
 
     def acquit(self, ask: Acquit) -> Believed:
         """Clear a suspect request at all gateways on an operator's order."""
-        found = self.book.find(ask.request)
-        done = found is not None and self.book.record_success(
+        found = self.tracker.find(ask.request)
+        done = found is not None and self.tracker.record_success(
             found.fingerprint, self.clock.time_of_day()
         )
         log_state("suspect_cleared_by_operator", fingerprint=ask.request, done=done)
@@ -120,16 +120,16 @@
         if isinstance(answer, LeaseGone):
             self.lease = 0
         else:  # another process claimed it
-            self.book.record_trial(fingerprint, trial, self.clock.time_of_day())
+            self.tracker.record_trial(fingerprint, trial, self.clock.time_of_day())
         return False
 
     def run_once(self) -> None:
         """Send new records to peers, and persist those that must survive this process."""
-        self.book.expire(self.clock.time_of_day())
-        news = self.book.take_updates()
+        self.tracker.expire(self.clock.time_of_day())
+        news = self.tracker.take_updates()
         if news and not self._send(news):
             self.undelivered |= {one.fingerprint: one for one in news.suspects}
-        to_persist = self.book.records_to_persist()
+        to_persist = self.tracker.records_to_persist()
         if self.undelivered or to_persist.suspects != self.persisted.suspects:
             self._persist(to_persist)
 
@@ -151,7 +151,7 @@
                 continue
             self._merge(news, key.removeprefix(CRASHES_PREFIX))
             if key == self.key:
-                self.book.restore_own(news)
+                self.tracker.restore_own(news)
 
     def _check_entry_listed(self, entry_listed: bool) -> None:
         """Write this box's records again if the store lost them, such as by a revoked lease."""
@@ -170,7 +170,7 @@
             self.run_once()
 
     def _merge(self, news: CrashNews, source: str) -> None:
-        for fingerprint in self.book.merge(news, self.clock.time_of_day()):
+        for fingerprint in self.tracker.merge(news, self.clock.time_of_day()):
             log_state(
                 "suspect_refused", fingerprint=short_fingerprint(fingerprint), reported_by=source
             )
--- a/src/threadramp/lots/crashing_samples.py
+++ b/src/threadramp/lots/crashing_samples.py
@@ -52,8 +52,8 @@
 
     def may_run_anywhere(self, lot: OwnedLot, sample: str) -> bool:
         """Return whether a sample may run on any engine, next to any other sample."""
-        ruling = self.guard.assess(lambda: self._fingerprint(lot, sample))
-        return ruling.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED)
+        assessment = self.guard.assess(lambda: self._fingerprint(lot, sample))
+        return assessment.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED)
 
     def allowed_runners(
         self, lot: OwnedLot, sample: str, views: Sequence[RunnerView]
@@ -63,25 +63,25 @@
         If all of them have one, any runner is allowed: a sample takes seconds, and its step waits
         for it.
         """
-        ruling = self.guard.assess(lambda: self._fingerprint(lot, sample))
-        if ruling.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED):
+        assessment = self.guard.assess(lambda: self._fingerprint(lot, sample))
+        if assessment.level in (SuspicionLevel.NONE, SuspicionLevel.SUSPECTED):
             return views
         isolating = self._isolating_runners()
         return [view for view in views if view.member.name not in isolating] or views
 
     def admit(self, lot: OwnedLot, sample: str, runner: str, now: float) -> bool:
         """Return whether a sample may go to a runner now; a refused one is postponed."""
-        ruling = self.guard.admit(sample, lambda: self._fingerprint(lot, sample))
-        if ruling.level is SuspicionLevel.REFUSED:
-            self._postpone(lot, sample, ruling, now)
+        assessment = self.guard.admit(sample, lambda: self._fingerprint(lot, sample))
+        if assessment.level is SuspicionLevel.REFUSED:
+            self._postpone(lot, sample, assessment, now)
             return False
-        if ruling.level is SuspicionLevel.ISOLATED:
+        if assessment.level is SuspicionLevel.ISOLATED:
             self.isolated[runner] = (lot, sample)
         return True
 
-    def _postpone(self, lot: OwnedLot, sample: str, ruling: Assessment, now: float) -> None:
+    def _postpone(self, lot: OwnedLot, sample: str, assessment: Assessment, now: float) -> None:
         with self.owned.lock:
-            lot.tracker.postpone(sample, now + min(MAX_HOLD_S, ruling.retry_after_s))
+            lot.tracker.postpone(sample, now + min(MAX_HOLD_S, assessment.retry_after_s))
 
     def _isolating_runners(self) -> set[str]:
         """Return the runners at which an isolated suspect runs."""
--- a/src/threadramp/lots/scoring.py
+++ b/src/threadramp/lots/scoring.py
@@ -34,10 +34,10 @@
     """Makes the scoring calls of the lots that this gateway owns."""
 
     def __init__(
-        self, owned: OwnedLots, picture: FleetView, forwarder: Forwarder, clock: Clock
+        self, owned: OwnedLots, fleet_view: FleetView, forwarder: Forwarder, clock: Clock
     ) -> None:
         self.owned = owned
-        self.picture = picture
+        self.fleet_view = fleet_view
         self.forwarder = forwarder
         self.clock = clock
         self.pool = ThreadPoolExecutor(CALL_THREADS, thread_name_prefix="score")
@@ -73,7 +73,7 @@
             return scoring and not lot.tracker.ended and self.owned.get(lot.lot_id) is lot
 
     def _call(self, reward: Reward) -> tuple[Outcome | None, Route | None]:
-        configuration = self.picture.snapshot.configuration
+        configuration = self.fleet_view.snapshot.configuration
         route = configuration.route_for(reward.host, reward.path) if configuration else None
         if route is None:
             return None, None
--- a/src/threadramp/runner/hosting.py
+++ b/src/threadramp/runner/hosting.py
@@ -112,18 +112,18 @@
 
     def _check_engines(self) -> None:
         """Host the engines assigned to this gateway and stop runners that are no longer used."""
-        belief = self.peers.fleet_view.snapshot
-        self._update_coverage(belief)
-        for endpoint in engines(belief):
-            if self._should_host(endpoint, belief):
+        snapshot = self.peers.fleet_view.snapshot
+        self._update_coverage(snapshot)
+        for endpoint in engines(snapshot):
+            if self._should_host(endpoint, snapshot):
                 self._runner_of(endpoint.address, endpoint)
         for engine, one in list(self.hosted.items()):
             if self.clock.now() - one.last_used_at > IDLE_TIMEOUT_S:
                 self._stop_runner(engine)
                 continue
-            one.runner.engine.update_facts(facts_for(one.runner.member, belief))
+            one.runner.engine.update_facts(facts_for(one.runner.member, snapshot))
 
-    def _update_coverage(self, belief: FleetSnapshot) -> None:
+    def _update_coverage(self, snapshot: FleetSnapshot) -> None:
         """Record which engines have a sidecar that is listed or has answered recently.
 
         Until the member list is loaded, no sidecar counts as missing.
@@ -136,14 +136,14 @@
             has_replied = (
                 now - self.peers.last_reply_at.get(one.address, float("-inf")) < REPLY_TTL_S
             )
-            if one.name in belief.members or has_replied:
+            if one.name in snapshot.members or has_replied:
                 self.last_covered_at[one.endpoint] = now
-        listed = belief.by_address
+        listed = snapshot.by_address
         self.last_covered_at = {
             name: at for name, at in self.last_covered_at.items() if name in listed
         }
 
-    def _should_host(self, endpoint: Endpoint, belief: FleetSnapshot) -> bool:
+    def _should_host(self, endpoint: Endpoint, snapshot: FleetSnapshot) -> bool:
         """Return whether an engine without a sidecar is to be hosted by this gateway."""
         if self.leaving or self._without_sidecar_s(endpoint.address) < NO_SIDECAR_S:
             return False
@@ -187,12 +187,12 @@
 
     def _may_take_lock(self, address: str) -> bool:
         """Return whether an engine is assigned to this gateway and its sidecar does not answer."""
-        belief = self.peers.fleet_view.snapshot
-        endpoint = belief.at_address(address)
-        if endpoint is None or not self._should_host(endpoint, belief):
+        snapshot = self.peers.fleet_view.snapshot
+        endpoint = snapshot.at_address(address)
+        if endpoint is None or not self._should_host(endpoint, snapshot):
             return False
         sidecar = self.sidecars.get(address)
-        answers = sidecar is not None and self._sidecar_answers(sidecar, belief)
+        answers = sidecar is not None and self._sidecar_answers(sidecar, snapshot)
         log_state(
             "engine_takeover_check",
             engine=address,
@@ -202,8 +202,8 @@
         )
         return not answers
 
-    def _sidecar_answers(self, sidecar: Member, belief: FleetSnapshot) -> bool:
-        beat = Beat(*self.peers.sender_fields, facts_for(sidecar, belief))
+    def _sidecar_answers(self, sidecar: Member, snapshot: FleetSnapshot) -> bool:
+        beat = Beat(*self.peers.sender_fields, facts_for(sidecar, snapshot))
         return self.peers.ask(sidecar.address, beat, PROBE_TIMEOUT_S) is not None
 
     def _stop_runner(self, engine: str) -> None:
--- a/src/threadramp/runner/sidecar.py
+++ b/src/threadramp/runner/sidecar.py
@@ -79,7 +79,7 @@
         self.relisted_at = clock.now()
         self.on_unlisted: Callable[[], None] = lambda: None
         self.store_relay: StoreRelay | None = None
-        self.beliefs: InspectHandler | None = None
+        self.inspect_handler: InspectHandler | None = None
         self.stall_check_at: float | None = None
         engine.set_counter(metrics.count)
         engine.on_suspect_connections = self._schedule_stall_check
@@ -147,8 +147,8 @@
             return Found(self.status(), self.table.find(ask.samples, ask.min_version))
         if isinstance(ask, CallStore) and self.store_relay is not None:
             return self.store_relay.answer(ask)
-        if isinstance(ask, Inspect) and self.beliefs is not None:
-            return self.beliefs.handle(ask)
+        if isinstance(ask, Inspect) and self.inspect_handler is not None:
+            return self.inspect_handler.handle(ask)
         return Status(self.status()) if isinstance(ask, (Beat, HurryLoad)) else Done()
 
     def _is_ready(self) -> bool:
@@ -217,7 +217,7 @@
         while not self.stopped.wait(POLL_INTERVAL_S):
             samples = self.table.cut_abandoned()
             if samples:
-                log_state("gateway_unresponsive", samples=samples, outcome=RunOutcome.CUT.value)
+                log_state("gateway_stopped_polling", samples=samples, outcome=RunOutcome.CUT.value)
             if self.member.role != HOST_ROLE:
                 self._check_listed()
 
--- a/src/threadramp/serve/gateway.py
+++ b/src/threadramp/serve/gateway.py
@@ -164,10 +164,13 @@
         health = StoreHealth(clock)
         client = SyncClient(Packing(), decode_reply, redial=True)
         self.peers = Peers(self.member, self.fleet_view, client, health, clock)
-        tally = StoreCallCounter(self.metrics, "gateway")
-        tally.start()
+        store_call_counter = StoreCallCounter(self.metrics, "gateway")
+        store_call_counter.start()
         store = StoreClient(
-            settings.store.address, self.peers.relay, health.observe, count=tally.record
+            settings.store.address,
+            self.peers.relay,
+            health.observe,
+            count=store_call_counter.record,
         )
         self.membership = Membership(self.member, store, settings.store.lease_min_s)
         self.membership.renew_s = self._renewal_interval_s
@@ -211,7 +214,7 @@
         if self.usage_counting is None:
             return None
         collecting = UsageCollector(self.peers, self.usage_counting, self.true_time)
-        holding = DutyLock(
+        duty_lock = DutyLock(
             self.fleet_view,
             store,
             settings.name,
@@ -221,14 +224,14 @@
         )
         schedule = UsageSchedule(settings.bounds.usage_window_s, settings.bounds.usage_late_s)
         calls = DutyCalls(settings.duties.address, settings.name)
-        lock = holding.lock
+        lock = duty_lock.lock
         reports = UsageReports(
             lock, store, calls, collecting, schedule, self.true_time, self.metrics
         )
         scale = ScaleOrders(lock, calls, collecting, self.fleet_view, self.metrics)
         return DutyLoop(
             self.peers,
-            holding,
+            duty_lock,
             collecting,
             reports if settings.duties.takes_usage else None,
             scale if settings.duties.takes_scale else None,
@@ -249,9 +252,9 @@
         gateway_beliefs = GatewayInspector(
             self.fleet_view, self.peers, self.forwarder, self.owner.owned, clock
         )
-        beliefs = gateway_beliefs.register_with(InspectHandler())
-        beliefs.register("endpoint", self.hosting.inspect)
-        return beliefs
+        inspect_handler = gateway_beliefs.register_with(InspectHandler())
+        inspect_handler.register("endpoint", self.hosting.inspect)
+        return inspect_handler
 
     def _record_silent_connections(self) -> None:
         """Log and count that open connections to the store may be dead while new ones work."""
--- a/src/threadramp/serve/peer_requests.py
+++ b/src/threadramp/serve/peer_requests.py
@@ -63,11 +63,11 @@
         reader: LotReader,
         store_relay: StoreRelay,
         hosting: HostedRunners | None = None,
-        beliefs: InspectHandler | None = None,
+        inspect_handler: InspectHandler | None = None,
         crashes: CrashSharing | None = None,
         duties: DutyLoop | None = None,
     ) -> None:
-        self.beliefs = beliefs or InspectHandler()
+        self.inspect_handler = inspect_handler or InspectHandler()
         self.hosting = hosting
         self.peers = peers
         self.owner = owner
@@ -82,7 +82,7 @@
             EndLot: self._end_lot,
             EndKept: self._end_stored_lot,
             Adopt: self._adopt,
-            Inspect: self.beliefs.handle,
+            Inspect: self.inspect_handler.handle,
         }
         if store_relay is not None:
             self.handlers[CallStore] = store_relay.answer
--- a/src/threadramp/serve/sidecar.py
+++ b/src/threadramp/serve/sidecar.py
@@ -58,9 +58,11 @@
             clock, silence_limit_s=math.inf
         )  # infinite: in large fleets renewals are 9 s apart
         client = SyncClient(Packing(), decode_reply, redial=True)
-        tally = StoreCallCounter(self.metrics, "sidecar")
-        tally.start()
-        store = StoreClient(settings.store.address, self._relay, health.observe, count=tally.record)
+        store_call_counter = StoreCallCounter(self.metrics, "sidecar")
+        store_call_counter.start()
+        store = StoreClient(
+            settings.store.address, self._relay, health.observe, count=store_call_counter.record
+        )
         engine = Engine(settings.endpoint, settings.pool, settings.name, clock)
         takeover_delay_s = settings.bounds.holders_apart_s
         engine_lock = make_engine_lock(
@@ -77,9 +79,9 @@
         )
         self.sidecar.on_unlisted = self.membership.mark_unlisted
         self.sidecar.store_relay = StoreRelay(store, health)
-        beliefs = InspectHandler()
-        beliefs.register("endpoint", RunnerInspector(self.sidecar).endpoint)
-        self.sidecar.beliefs = beliefs
+        inspect_handler = InspectHandler()
+        inspect_handler.register("endpoint", RunnerInspector(self.sidecar).endpoint)
+        self.sidecar.inspect_handler = inspect_handler
         self.peer_server = SyncServer(address, Packing(), self.sidecar.handle, THREADS, decode_ask)
         self.membership.start()
         self.sidecar.start()
--- a/tests/edge/test_crash_resolver.py
+++ b/tests/edge/test_crash_resolver.py
@@ -39,25 +39,25 @@
     """Attribute one crash to two requests, resolve it and return the result."""
 
     def made(*answers: int | None, pace: float = 1.0) -> tuple[CrashTracker, FakeEndpoint]:
-        book, endpoint = CrashTracker(), FakeEndpoint(*answers)
+        tracker, endpoint = CrashTracker(), FakeEndpoint(*answers)
         endpoint.pace = pace
         endpoint.clock = clock
-        resolver = CrashResolver(book, clock, endpoint.query_start_time, endpoint.sleep)
+        resolver = CrashResolver(tracker, clock, endpoint.query_start_time, endpoint.sleep)
         for fingerprint in (ONE, OTHER):
-            book.record_crash(fingerprint, START, clock.time_of_day(), listens=True)
+            tracker.record_crash(fingerprint, START, clock.time_of_day(), listens=True)
         resolver.pending[START] = {ONE: clock.time_of_day(), OTHER: clock.time_of_day()}
         resolver._resolve(START, "127.0.0.1:1")
         assert not resolver.pending
-        return book, endpoint
+        return tracker, endpoint
 
     return made
 
 
 def test_another_start_time_confirms_the_crash_for_all_requests(resolve, clock):
-    book, endpoint = resolve(None, None, START_TIME_MS + 9)
+    tracker, endpoint = resolve(None, None, START_TIME_MS + 9)
     for fingerprint in (ONE, OTHER):
-        assert book.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.SUSPECTED
-    assert book.suspects[ONE].crashes[0].is_proven
+        assert tracker.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.SUSPECTED
+    assert tracker.suspects[ONE].crashes[0].is_proven
     assert len(endpoint.pauses) == 3
 
 
@@ -65,42 +65,42 @@
 @pytest.mark.parametrize("pace", [1.0, -2.0])
 def test_the_same_start_time_or_none_retracts_the_crash(resolve, clock, start_time, pace):
     """Also if the time of day is set back meanwhile."""
-    book, _ = resolve(None, start_time, pace=pace)
+    tracker, _ = resolve(None, start_time, pace=pace)
     for fingerprint in (ONE, OTHER):
-        assert book.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.NONE
+        assert tracker.assess(fingerprint, clock.time_of_day()).level is SuspicionLevel.NONE
 
 
 def test_a_replaced_incarnation_has_crashed_even_without_a_start_time(clock):
     """The next incarnation, under another id, was taken for the previous one being alive."""
-    book, endpoint = CrashTracker(), FakeEndpoint(0, 0, 0)
+    tracker, endpoint = CrashTracker(), FakeEndpoint(0, 0, 0)
     endpoint.clock = clock
     start = Incarnation("i-0")
     replaced_at = clock.now() + 1.0
     resolver = CrashResolver(
-        book,
+        tracker,
         clock,
         endpoint.query_start_time,
         endpoint.sleep,
         lambda one, address: clock.now() > replaced_at,
     )
-    book.record_crash(ONE, start, clock.time_of_day(), listens=True)
+    tracker.record_crash(ONE, start, clock.time_of_day(), listens=True)
     resolver.pending[start] = {ONE: clock.time_of_day()}
     resolver._resolve(start, "127.0.0.1:1")
     for seconds in (0.0, 60.0):
         clock.at += seconds
-        book.record_answer(Incarnation("i-1"), clock.time_of_day())
-        assert book.assess(ONE, clock.time_of_day()).crashes == 1
+        tracker.record_answer(Incarnation("i-1"), clock.time_of_day())
+        assert tracker.assess(ONE, clock.time_of_day()).crashes == 1
 
 
 def test_a_late_start_time_still_confirms_the_crash(resolve, clock):
     """A proxy may respond for its endpoint, without a start time, before the endpoint is back."""
-    book, _ = resolve(None, 0, 0, START_TIME_MS + 9)
-    assert book.suspects[ONE].crashes[0].is_proven
+    tracker, _ = resolve(None, 0, 0, START_TIME_MS + 9)
+    assert tracker.suspects[ONE].crashes[0].is_proven
 
 
 def test_an_endpoint_that_never_responds_is_given_up(resolve, clock):
-    book, endpoint = resolve()
-    assert book.assess(ONE, clock.time_of_day()).crashes == 1
+    tracker, endpoint = resolve()
+    assert tracker.assess(ONE, clock.time_of_day()).crashes == 1
     assert len(endpoint.pauses) <= 60
 
 
@@ -111,8 +111,8 @@
         seen.append(address)
         return START_TIME_MS + 1
 
-    book = CrashTracker()
-    resolver = CrashResolver(book, clock, query_start_time, lambda seconds: go_on.wait(5.0))
+    tracker = CrashTracker()
+    resolver = CrashResolver(tracker, clock, query_start_time, lambda seconds: go_on.wait(5.0))
     for fingerprint in (ONE, OTHER):
         resolver.resolve(START, "127.0.0.1:1", fingerprint)
     go_on.set()
@@ -120,7 +120,7 @@
         if thread.name.startswith("Thread") and "_resolve" in thread.name:
             thread.join(5.0)
     assert seen == ["127.0.0.1:1"]
-    assert set(book.suspects) == {ONE, OTHER}
+    assert set(tracker.suspects) == {ONE, OTHER}
 
 
 def test_the_number_of_endpoints_queried_at_once_is_bounded(clock):
--- a/tests/edge/test_proxied_crashes.py
+++ b/tests/edge/test_proxied_crashes.py
@@ -137,8 +137,8 @@
     thread.join()
     wait_for(lambda: not any(one.is_down for one in pool.standins), "the last flap is over")
     wait_for(lambda: not pool.guard.resolver.pending, "all is settled", 3.0)
-    book = pool.guard.tracker
-    assert not [one for one in book.suspects.values() if one.standing]
+    tracker = pool.guard.tracker
+    assert not [one for one in tracker.suspects.values() if one.standing]
     assert {one.ending for one in run_many(pool, "/calm/0", 6)} == {Ending.ANSWERED}
 
 
--- a/tests/fleet/test_crash_sharing.py
+++ b/tests/fleet/test_crash_sharing.py
@@ -49,16 +49,16 @@
     def __init__(self, name: str, boxes: dict[str, Box], store: str, clock) -> None:
         self.cut = False
         self.clock = clock
-        self.book = CrashTracker()
+        self.tracker = CrashTracker()
         self.store = StoreClient(store, timeout_s=0.5)
         self.peers = Peers(name, boxes)
         self.health = StoreHealth(clock)
-        self.sharing = CrashSharing(self.book, self.peers, self.store, self.health, clock, name)
+        self.sharing = CrashSharing(self.tracker, self.peers, self.store, self.health, clock, name)
         boxes[name] = self
 
     def crash(self, *starts: int) -> None:
         for number in starts:
-            self.book.record_crash(ONE, Incarnation(f"i-{number}", 1), self.clock.time_of_day())
+            self.tracker.record_crash(ONE, Incarnation(f"i-{number}", 1), self.clock.time_of_day())
         self.sharing.run_once()
 
     def watch(self) -> None:
@@ -66,7 +66,7 @@
 
     @property
     def verdict(self) -> SuspicionLevel:
-        return self.book.assess(ONE, self.clock.time_of_day()).level
+        return self.tracker.assess(ONE, self.clock.time_of_day()).level
 
 
 @pytest.fixture
@@ -111,8 +111,8 @@
     boxes["g0"].crash(0, 1, 2)
     again = Box("g0", boxes, store_address, clock)
     again.watch()
-    again.book.record_crash(b"another-request0", Incarnation("i-7", 1), clock.time_of_day())
-    again.book.record_crash(b"another-request0", Incarnation("i-8", 1), clock.time_of_day())
+    again.tracker.record_crash(b"another-request0", Incarnation("i-7", 1), clock.time_of_day())
+    again.tracker.record_crash(b"another-request0", Incarnation("i-8", 1), clock.time_of_day())
     again.sharing.run_once()
     late = Box("g9", boxes, store_address, clock)
     late.watch()
@@ -169,7 +169,7 @@
     boxes["g1"].watch()
     assert boxes["g1"].verdict is SuspicionLevel.REFUSED
     assert (
-        boxes["g1"].book.assess(b"another-request0", boxes["g1"].clock.time_of_day())
+        boxes["g1"].tracker.assess(b"another-request0", boxes["g1"].clock.time_of_day())
         == NO_SUSPICION
     )
 
@@ -179,9 +179,9 @@
     for box in boxes.values():
         box.sharing.start()
     started = time.monotonic()
-    boxes["g0"].book.record_crash(ONE, Incarnation("i-0"), boxes["g0"].clock.time_of_day())
-    boxes["g1"].book.record_crash(ONE, Incarnation("i-1"), boxes["g0"].clock.time_of_day())
-    boxes["g2"].book.record_crash(ONE, Incarnation("i-2"), boxes["g0"].clock.time_of_day())
+    boxes["g0"].tracker.record_crash(ONE, Incarnation("i-0"), boxes["g0"].clock.time_of_day())
+    boxes["g1"].tracker.record_crash(ONE, Incarnation("i-1"), boxes["g0"].clock.time_of_day())
+    boxes["g2"].tracker.record_crash(ONE, Incarnation("i-2"), boxes["g0"].clock.time_of_day())
     while {box.verdict for box in boxes.values()} != {SuspicionLevel.REFUSED}:
         assert time.monotonic() < started + CONTACT_S
         time.sleep(0.01)
