--- a/tools/removals.py
+++ b/tools/removals.py
@@ -237,7 +237,7 @@
     ),
     Removal.of_one(
         "crashes held against the request",
-        "crashes_endpoints_is_not_sent_on",
+        "crashes_endpoints_is_not_forwarded",
         CRASH_TRACKER,
         "    standing = known.standing\n",
         "    standing = known.standing[:2]\n",
@@ -258,7 +258,7 @@
     ),
     Removal.of_one(
         "a good answer acquits",
-        "popular_request_that_stands_in",
+        "popular_request_that_is_open_during_crashes",
         CRASH_TRACKER,
         "if known is None or not known.standing:",
         "if True:",
@@ -279,7 +279,7 @@
     ),
     Removal.of_one(
         "ends behind a port held against the request",
-        "crashes_endpoints_behind_fronts_is_not_sent_on",
+        "crashes_endpoints_behind_proxies_is_not_forwarded",
         PROXIED_CRASHES,
         "return seen.was_begun and not seen.others_active and not seen.reported_before",
         "return False",
@@ -300,14 +300,14 @@
     ),
     Removal.of_one(
         "ends behind a port held against the sample",
-        "sample_that_crashes_engines_behind_fronts",
+        "sample_that_crashes_engines_behind_proxies",
         "src/threadramp/runner/crash_detection.py",
         "return may_have_crashed(ConnectionBreak(lived_s, found.took_s))",
         "return False",
     ),
     Removal.of_one(
         "keys stay here",
-        "right_key_is_let_in",
+        "valid_key_is_accepted_and_its_organisation",
         HEADERS,
         "        pairs = _without_identity(pairs)\n",
         "        pass\n",
@@ -321,7 +321,7 @@
     ),
     Removal.of_one(
         "all values of a repeated header of credentials",
-        "two_different_keys_in_one_head",
+        "two_different_keys_in_one_request",
         CALLER_SERVER,
         "if name in SINGLE_VALUE_HEADERS and name in self:",
         "if False:",
@@ -355,7 +355,7 @@
     ),
     Removal(
         "the store's word for each order",
-        "sidecar_that_stood_still_does_not_order",
+        "sidecar_that_was_suspended_does_not_order",
         (
             Edit(WEIGHTS, "self.lock.verified_token()", "self.lock.cached_token()"),
             Edit(WEIGHTS, "report.orders, self.lock.is_verified)", "report.orders, lambda: True)"),
@@ -377,7 +377,7 @@
     ),
     Removal.of_one(
         "the reset of an order's connection by the kernel",
-        "order_that_lay_behind_a_cut",
+        "order_delayed_by_a_partition",
         RUNNER_ENGINE,
         "            drop_what_is_late(exchange.connection.sock, ORDER_TIMEOUT_S)\n",
         "",
@@ -391,14 +391,14 @@
     ),
     Removal.of_one(
         "the middle of several clocks",
-        "start_while_its_own_clock_is_off",
+        "wrong_own_clock_at_the_start",
         TRUE_TIME,
         "return self.own if abs(self.own - median) < MAX_DEVIATION_S else median",
         "return self.own",
     ),
     Removal.of_one(
         "the clock that counts suspensions",
-        "time_is_over_by_then",
+        "deadline_passed_meanwhile",
         "src/threadramp/fleet/clock.py",
         "time.clock_gettime(time.CLOCK_BOOTTIME)",
         "time.monotonic()",
@@ -426,7 +426,7 @@
     ),
     Removal.of_one(
         "asking a listening port for a report",
-        "whatever_a_front_does",
+        "whatever_a_proxy_does",
         ENDPOINT_PROBE,
         "return EndpointState.BREAKS if response.status >= SERVER_ERROR else",
         "return",
